--- a/src/core/cluster.hpp
+++ b/src/core/cluster.hpp
@@ -381,7 +381,7 @@
   wire::Resources room(const Machine& machine) const;
   bool nearly_done(const Job& job, const Placement& placement, Time now) const;
   // Room that is or will be there for jobs ahead in line.
-  using ClaimedRoom = std::map<const Machine*, wire::Resources>;
+  using ClaimedRoom = std::map<const Machine*, wire::Resources, ById>;
   struct Chance;
   // Tasks on the machine that may be stopped for the claimant, by what that costs.
   std::vector<std::pair<double, PlacedTask>> victims_on(const Ranked& claimant, const Machine& machine,
@@ -451,8 +451,8 @@
   std::uint32_t next_serial_ = 1;
   std::map<JobId, Time> over_;  // dropped not long ago: late news of their submission start nothing
   std::map<MachineId, Machine> machines_;
-  std::set<Machine*> open_answers_;       // machines whose last report has not been answered
-  std::vector<wire::MachineType> types_;  // numbered as first seen
+  std::set<Machine*, ById> open_answers_;  // machines whose last report has not been answered
+  std::vector<wire::MachineType> types_;   // numbered as first seen
   std::map<MachineId, Time> tombstones_;
   std::map<RentId, PendingRent> rents_;
   std::map<Offer, Refusal> refusals_;
--- a/src/core/gangs.cpp
+++ b/src/core/gangs.cpp
@@ -156,7 +156,7 @@
 
 void Cluster::save_gang(Job& job) {
   job.gang.broken = true;
-  std::map<Machine*, std::vector<wire::Order>> orders;
+  std::map<Machine*, std::vector<wire::Order>, ById> orders;
   for (auto& [index, placement] : job.placements) {
     stop(placement, job.spec.save_s + limits::kGangSaveMargin);
     orders[placement.machine].push_back(
--- a/src/core/model.hpp
+++ b/src/core/model.hpp
@@ -221,6 +221,11 @@
   }
 };
 
+// Order of machines that does not depend on where they are in memory.
+struct ById {
+  bool operator()(const Machine* a, const Machine* b) const { return a->id < b->id; }
+};
+
 // So many tasks of a gang on this machine.
 struct GangPlace {
   Machine* machine = nullptr;
