--- a/tests/simulated_links.cpp
+++ b/tests/simulated_links.cpp
@@ -57,6 +57,7 @@
 net::Task<std::optional<net::HttpMessage>> Simulation::exchange(std::string from, std::string to,
                                                                 std::string method, std::string target,
                                                                 std::string body, net::Duration timeout) {
+  if (from.starts_with("dyke-")) trace_.request(time(), from, to, method, target, body);
   const Fate fate = this->fate(from, to, target);
   const auto deadline = loop.now() + timeout;
   const net::OneShot<net::HttpMessage> answered(loop);
@@ -117,12 +118,14 @@
   request.target = std::move(target);
   request.body = seat.older ? foreign_to_older(std::move(body)) : std::move(body);
   const bool internal = request.target.starts_with("/peer");
+  const std::string requested = request.target;
   net::HttpResponse response;
   if (internal) {
     response = co_await seat.node->handle_internal(std::move(request));
   } else {
     response = co_await seat.node->handle_public(std::move(request));
   }
+  trace_.response(time(), to, requested, response);
   // The process may have ended meanwhile; then its connections are reset.
   out.status = ended_.contains(seat.process) ? kRefused : response.status;
   out.body = std::move(response.body);
--- a/tests/simulation.hpp
+++ b/tests/simulation.hpp
@@ -14,6 +14,7 @@
 #include "cluster_fixture.hpp"
 #include "core/room.hpp"
 #include "fakes.hpp"
+#include "message_trace.hpp"
 #include "simulation_types.hpp"
 
 namespace dockdyke::testing {
@@ -255,6 +256,7 @@
   bool calm_ = false;                                               // all troubles are over
   net::TimePoint began_ = loop.now();
   wire::MachineType cloud_type_ = FakeCloud().type;
+  MessageTrace trace_;
 };
 
 }  // namespace dockdyke::testing
