--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -18,7 +18,7 @@
     spdlog::debug("simulation t={:.1f} {} lost its lease with {} tasks", time(), worker.id,
                   worker.tasks.size());
     worker.tasks.clear();
-    ++worker.session;
+    ++worker.incarnation;
     worker.lease_from = now;
     worker.changed = true;
   }
@@ -34,7 +34,8 @@
         started(worker, task);
       } else {
         task.state = wire::TaskState::running;
-        task.ends_at = now + net::seconds(jobs_.at(task.ref.job.value).spec.estimate_s * random(0.8, 1.2));
+        task.ends_at =
+            now + net::seconds(jobs_.at(task.ref.job.value).spec.estimated_run_s * random(0.8, 1.2));
         started(worker, task);
       }
       worker.changed = true;
@@ -56,12 +57,13 @@
     }
   }
   if (worker.in_flight) return;
-  const bool due = now >= worker.report_at || (worker.changed && seconds_between(worker.sent_at, now) >= 0.5);
-  if (due) net::spawn(report(this, shared));
+  const bool due =
+      now >= worker.heartbeat_at || (worker.changed && seconds_between(worker.sent_at, now) >= 0.5);
+  if (due) net::spawn(heartbeat(this, shared));
 }
 
 bool Simulation::is_gang(const HeldTask& task) const {
-  return jobs_.at(task.ref.job.value).spec.shape == wire::Shape::gang;
+  return jobs_.at(task.ref.job.value).spec.kind == wire::JobKind::gang;
 }
 
 std::vector<std::pair<SimWorker*, HeldTask*>> Simulation::members(const std::string& id,
@@ -84,9 +86,9 @@
       return static_cast<std::size_t>(std::count_if(
           tasks.begin(), tasks.end(), [&](const auto& each) { return each.second->state == state; }));
     };
-    if (!gang.started && in_state(wire::TaskState::waiting) == job.spec.tasks) {
+    if (!gang.started && in_state(wire::TaskState::waiting) == job.spec.task_count) {
       gang.started = true;
-      gang.ends_at = loop.now() + net::seconds(job.spec.estimate_s * random(0.8, 1.2));
+      gang.ends_at = loop.now() + net::seconds(job.spec.estimated_run_s * random(0.8, 1.2));
       ++gang_starts_;
       for (auto& [worker, task] : tasks) change(*worker, *task, wire::TaskState::running, "");
       continue;
@@ -94,7 +96,7 @@
     if (!gang.started) continue;
     if (gang.told_at && !gang.broken_at) save_gang(gang, tasks, job.spec);
     if (gang.told_at && !gang.broken_at) continue;
-    const bool whole = in_state(wire::TaskState::running) == job.spec.tasks;
+    const bool whole = in_state(wire::TaskState::running) == job.spec.task_count;
     if (whole && loop.now() >= gang.ends_at) {
       for (auto& [worker, task] : tasks) {
         change(*worker, *task, wire::TaskState::exited, "done");
@@ -118,7 +120,7 @@
         return each.second->state == wire::TaskState::saving;
       }));
   const double since_s = seconds_between(*gang.told_at, loop.now());
-  if (saving == spec.tasks && since_s >= spec.save_s) {
+  if (saving == spec.task_count && since_s >= spec.checkpoint_duration_s) {
     ++gang_saves_;
     gang.saved = true;
     for (auto& [worker, task] : tasks) {
@@ -156,13 +158,13 @@
   return "exited";
 }
 
-net::Task<void> Simulation::report(Simulation* simulation, std::shared_ptr<SimWorker> worker) {
+net::Task<void> Simulation::heartbeat(Simulation* simulation, std::shared_ptr<SimWorker> worker) {
   auto& loop = simulation->loop;
   worker->in_flight = true;
   worker->changed = false;
   worker->sent_at = loop.now();
   const auto sent_at = loop.now();
-  const auto session = worker->session;
+  const auto incarnation = worker->incarnation;
   Json tasks = Json::array();
   for (const auto& task : worker->tasks) {
     Json each{{"piece", wire::spelled(task.ref)}, {"try", task.attempt}, {"stage", spelled(task.state)}};
@@ -177,8 +179,8 @@
                   {"build", simulation->cloud_type_.name},
                   {"polder", worker->zone},
                   {"ebbtide", worker->spot},
-                  {"watch", worker->session},
-                  {"tally", ++worker->sequence},
+                  {"watch", worker->incarnation},
+                  {"tally", ++worker->sequence_number},
                   {"warrant", worker->token},
                   {"warning_s", notice},
                   {"pieces", std::move(tasks)}};
@@ -192,15 +194,15 @@
   if (seconds_between(sent_at, loop.now()) > kPatience) answer.reset();
   worker->in_flight = false;
   spdlog::debug("simulation t={:.1f} {} session {} report {} token {} to {}: {} {}", simulation->time(),
-                worker->id, session, worker->sequence, worker->token, worker->controller,
+                worker->id, incarnation, worker->sequence_number, worker->token, worker->controller,
                 answer ? answer->status : 0,
                 answer && !answer->body.empty() ? wire::decode(answer->body)->dump() : "");
-  const double period_s = simulation->options_.config.report_s;
-  worker->report_at = sent_at + net::seconds(period_s * simulation->random(0.75, 1.25));
+  const double period_s = simulation->options_.config.heartbeat_interval_s;
+  worker->heartbeat_at = sent_at + net::seconds(period_s * simulation->random(0.75, 1.25));
   if (worker->gone_at) co_return;
   if (!answer || (answer->status != 200 && answer->status != 421)) {
     worker->controller = (worker->controller + 1) % simulation->seats_.size();
-    worker->report_at = loop.now() + net::seconds(1);
+    worker->heartbeat_at = loop.now() + net::seconds(1);
     co_return;
   }
   const auto content =
@@ -209,51 +211,52 @@
     const std::string named = content->value("harbour", std::string());
     if (named.empty() || named == host(static_cast<int>(worker->controller))) {
       worker->controller = (worker->controller + 1) % simulation->seats_.size();
-      worker->report_at = loop.now() + net::seconds(1);
+      worker->heartbeat_at = loop.now() + net::seconds(1);
     } else {
       worker->controller = static_cast<std::size_t>(std::stoi(named.substr(named.find('-') + 1)));
-      worker->report_at = loop.now() + net::seconds(simulation->random(0, 0.5));
+      worker->heartbeat_at = loop.now() + net::seconds(simulation->random(0, 0.5));
     }
     co_return;
   }
   const std::uint64_t token = content->value("warrant", std::uint64_t{0});
-  if (token < worker->token || token == 0 || session != worker->session || simulation->lease_over(*worker))
+  if (token < worker->token || token == 0 || incarnation != worker->incarnation ||
+      simulation->lease_over(*worker))
     co_return;
   if (token > worker->token) worker->changed = true;
   worker->token = token;
   worker->lease_from = sent_at;
-  for (const auto& order : content->at("orders")) simulation->obey(*worker, order);
+  for (const auto& command : content->at("orders")) simulation->obey(*worker, command);
 }
 
 void Simulation::stop_task(HeldTask& task, double leeway_s) {
   const auto& spec = jobs_.at(task.ref.job.value).spec;
   if (task.state == wire::TaskState::exited) return;
   if (task.state == wire::TaskState::saving && leeway_s > 0) return;
-  const bool saves =
-      task.state == wire::TaskState::running && spec.checkpoint_s > 0 && leeway_s >= spec.save_s;
+  const bool saves = task.state == wire::TaskState::running && spec.checkpoint_interval_s > 0 &&
+                     leeway_s >= spec.checkpoint_duration_s;
   if (saves && is_gang(task)) {
     auto& gang = gangs_.at({task.ref.job.value, task.attempt});
     if (!gang.told_at) gang.told_at = loop.now();
   }
   task.state = saves ? wire::TaskState::saving : wire::TaskState::exited;
-  if (saves) task.ends_at = loop.now() + net::seconds(spec.save_s);
+  if (saves) task.ends_at = loop.now() + net::seconds(spec.checkpoint_duration_s);
   if (!saves) task.cause = "halted";
 }
 
-void Simulation::obey(SimWorker& worker, const Json& order) {
-  const std::string verb = order.at("verb");
-  const auto ref = wire::parse_task(order.at("piece").get<std::string>());
-  const auto attempt = order.at("try").get<std::uint64_t>();
-  ASSERT_TRUE(ref && jobs_.contains(ref->job.value)) << "invented: " << order.dump();
+void Simulation::obey(SimWorker& worker, const Json& command) {
+  const std::string kind = command.at("verb");
+  const auto ref = wire::parse_task_id(command.at("piece").get<std::string>());
+  const auto attempt = command.at("try").get<std::uint64_t>();
+  ASSERT_TRUE(ref && jobs_.contains(ref->job.value)) << "invented: " << command.dump();
   auto held = std::find_if(worker.tasks.begin(), worker.tasks.end(),
                            [&](const HeldTask& each) { return each.ref == *ref && each.attempt == attempt; });
   worker.changed = true;
-  if (verb == "forget") {
+  if (kind == "forget") {
     if (held != worker.tasks.end() && held->state == wire::TaskState::exited) worker.tasks.erase(held);
     return;
   }
-  if (verb == "kill") {
-    if (held != worker.tasks.end()) stop_task(*held, order.at("leeway_s").get<double>());
+  if (kind == "kill") {
+    if (held != worker.tasks.end()) stop_task(*held, command.at("leeway_s").get<double>());
     return;
   }
   if (held != worker.tasks.end()) return;
@@ -263,12 +266,12 @@
   bool busy = false;
   for (const auto& each : worker.tasks) {
     if (each.state == wire::TaskState::exited) continue;
-    used += jobs_.at(each.ref.job.value).spec.each;
+    used += jobs_.at(each.ref.job.value).spec.task_resources;
     busy = busy || each.ref == *ref;
   }
   wire::Resources left = cloud_type_.size;
   left -= used;
-  if (busy || !jobs_.at(ref->job.value).spec.each.fits_into(left)) {
+  if (busy || !jobs_.at(ref->job.value).spec.task_resources.fits_into(left)) {
     task.state = wire::TaskState::exited;
     task.cause = busy ? "busy" : "no_room";
   }
--- a/tests/simulation.cpp
+++ b/tests/simulation.cpp
@@ -120,8 +120,8 @@
   return count;
 }
 
-void Simulation::give_notice(SimWorker& worker, double notice_s) {
-  worker.taken_at = loop.now() + net::seconds(notice_s);
+void Simulation::give_notice(SimWorker& worker, double termination_notice_s) {
+  worker.taken_at = loop.now() + net::seconds(termination_notice_s);
   worker.changed = true;
   const auto timer = [this, id = worker.id] {
     for (auto& each : workers_)
@@ -172,7 +172,7 @@
   std::string out;
   for (const auto& [id, job] : jobs_)
     if (!job.refused && !job.done_told_at && !job.cancelled_at)
-      out += id + " " + std::to_string(job.completed.size()) + "/" + std::to_string(job.spec.tasks) +
+      out += id + " " + std::to_string(job.completed.size()) + "/" + std::to_string(job.spec.task_count) +
              " done" + places_of(id) + "  ";
   return out;
 }
--- a/tests/simulation.hpp
+++ b/tests/simulation.hpp
@@ -59,9 +59,9 @@
   std::size_t gang_starts() const { return gang_starts_; }
   // Gangs all of whose tasks saved together.
   std::size_t gang_saves() const { return gang_saves_; }
-  std::size_t direct_orders() const { return direct_orders_; }
+  std::size_t direct_commands() const { return direct_commands_; }
   // The cloud takes the machine back in so many seconds, and its worker reports it.
-  void give_notice(SimWorker& worker, double notice_s);
+  void give_notice(SimWorker& worker, double termination_notice_s);
   double random(double from, double to) { return std::uniform_real_distribution<double>(from, to)(random_); }
   std::size_t pick(std::size_t of) { return std::uniform_int_distribution<std::size_t>(0, of - 1)(random_); }
 
@@ -189,12 +189,12 @@
 
   static const char* spelled(wire::TaskState state);
 
-  static net::Task<void> report(Simulation* simulation, std::shared_ptr<SimWorker> worker);
+  static net::Task<void> heartbeat(Simulation* simulation, std::shared_ptr<SimWorker> worker);
 
   // A running task that can save does so if there is time; any other ends at once.
   void stop_task(HeldTask& task, double leeway_s);
 
-  void obey(SimWorker& worker, const Json& order);
+  void obey(SimWorker& worker, const Json& command);
 
   // ---- Users ----------------------------------------------------------------------------------------------
 
@@ -251,7 +251,7 @@
   std::size_t starts_ = 0;
   std::size_t gang_starts_ = 0;
   std::size_t gang_saves_ = 0;
-  std::size_t direct_orders_ = 0;
+  std::size_t direct_commands_ = 0;
   std::map<std::pair<std::string, std::uint64_t>, SimGang> gangs_;  // by job and attempt
   bool calm_ = false;                                               // all troubles are over
   net::TimePoint began_ = loop.now();
--- a/tests/simulation_types.hpp
+++ b/tests/simulation_types.hpp
@@ -52,7 +52,7 @@
 };
 
 struct HeldTask {
-  wire::TaskRef ref;
+  wire::TaskId ref;
   std::uint64_t attempt = 0;
   wire::TaskState state = wire::TaskState::fetching;
   std::string cause;
@@ -82,11 +82,11 @@
   net::TimePoint up_at;
   std::optional<net::TimePoint> gone_at;
   bool died = false;
-  std::uint64_t session = 1;
-  std::uint64_t sequence = 0;
+  std::uint64_t incarnation = 1;
+  std::uint64_t sequence_number = 0;
   std::uint64_t token = 0;
   net::TimePoint lease_from;  // when the last answered report was sent
-  net::TimePoint report_at;
+  net::TimePoint heartbeat_at;
   bool changed = false;
   net::TimePoint sent_at;
   bool in_flight = false;
@@ -94,7 +94,7 @@
   net::TimePoint hung_until;
   net::TimePoint taken_at;  // by the cloud, as announced; the epoch: not announced
   std::vector<HeldTask> tasks;
-  std::set<wire::TaskRef> results;  // completed here: exits with `done` when started again
+  std::set<wire::TaskId> results;  // completed here: exits with `done` when started again
 };
 
 struct SimJob {
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -24,8 +24,8 @@
 
 // The leader's guard comes on top of what the core asks for.
 void expect_fits(const wire::Transaction& txn) {
-  EXPECT_LE(txn.puts.size() + txn.removals.size(), kLeastOps);
-  EXPECT_LE(txn.guards.size() + 1, limits::kGuardsPerChange * kLeastOps);
+  EXPECT_LE(txn.puts.size() + txn.deletions.size(), kLeastOps);
+  EXPECT_LE(txn.preconditions.size() + 1, limits::kPreconditionsPerChange * kLeastOps);
   for (const auto& put : txn.puts) EXPECT_LE(put.value.dump().size(), kLeastBytes) << put.key;
 }
 
@@ -43,14 +43,14 @@
     workers.push_back(ready_worker("n-" + std::to_string(100000 + i), "a", false));
   for (int i = 0; i < 20; ++i) submit(job_spec("job-" + std::to_string(i), 2, 4));
   auto gang = job_spec("job-100", 80, 4);
-  gang.shape = wire::Shape::gang;
+  gang.kind = wire::JobKind::gang;
   submit(gang);
-  for (auto& worker : workers) report_only(worker);
+  for (auto& worker : workers) heartbeat_only(worker);
   settle();
   for (auto& worker : workers) {
-    for (const auto& order : answer(worker))
-      if (order.verb == wire::Verb::start)
-        worker.shows(order.task.job.value, order.task.index, order.attempt, wire::TaskState::exited,
+    for (const auto& command : answer(worker))
+      if (command.kind == wire::CommandKind::start)
+        worker.shows(command.task.job.value, command.task.index, command.attempt, wire::TaskState::exited,
                      wire::ExitCause::done);
   }
   for (auto& worker : workers) exchange(worker);
@@ -96,14 +96,14 @@
   record.spec.machine_types.emplace();
   for (int i = 0; i < 200; ++i) record.spec.machine_types->push_back("type-" + std::to_string(i));
   record.spec.image = std::string(200, 'i');
-  record.spec.one_zone = true;
+  record.spec.same_zone = true;
   ASSERT_GT(to_json(record).dump().size(), kLeastBytes);
   const auto txn = cancellation(record, Revision(5), 2, 1234, kLeastBytes);
   expect_fits(txn);
   const auto copy = parse_job_record(txn.puts.at(1).value);
   EXPECT_EQ(copy.spec.team, record.spec.team);
-  EXPECT_EQ(copy.spec.each.cpus, record.spec.each.cpus);
-  EXPECT_TRUE(copy.spec.one_zone);
+  EXPECT_EQ(copy.spec.task_resources.cpus, record.spec.task_resources.cpus);
+  EXPECT_TRUE(copy.spec.same_zone);
   EXPECT_EQ(copy.cancelled_ms, 1234);
 }
 
@@ -138,7 +138,7 @@
 }
 
 TEST_F(LowestLimitsTest, EndsThatAreRefusedTogetherAreRecordedOneByOne) {
-  cluster = Cluster(cluster_config(), Token(kToken), 0, 0);
+  cluster = Cluster(cluster_config(), FencingToken(kToken), 0, 0);
   for (int i = 0; i < 3; ++i) inherit(job_spec("job-" + std::to_string(i), 1), {{0, 1, {}, true}});
   loaded();
   const auto together = cluster.next_save(now);
@@ -160,14 +160,14 @@
   for (int i = 0; i < 30; ++i) workers.push_back(ready_worker("n-" + std::to_string(100000 + i)));
   store_answers = false;
   auto gang = job_spec("job-1", 30, 8);
-  gang.shape = wire::Shape::gang;
+  gang.kind = wire::JobKind::gang;
   submit(gang);
   settle();
   const auto first = cluster.next_save(now);
   ASSERT_TRUE(first);
   cluster.apply(SaveRejected{first->number}, now);
   settle();
-  for (auto& worker : workers) report_only(worker);
+  for (auto& worker : workers) heartbeat_only(worker);
   settle();
   const auto second = cluster.next_save(now);
   ASSERT_TRUE(second);
@@ -209,12 +209,12 @@
   }
   net::Task<void> write_once() {
     wire::Transaction txn;
-    txn.removals.push_back("a");
+    txn.deletions.push_back("a");
     co_await client.commit(txn, store::Urgency::normal, loop.now() + net::seconds(1));
   }
   net::Task<void> compare(std::optional<store::Outcome>* out) {
     wire::Transaction txn;
-    txn.guards.push_back({"a", Revision(5)});
+    txn.preconditions.push_back({"a", Revision(5)});
     const auto compared = co_await client.commit(txn, store::Urgency::normal, loop.now() + net::seconds(1));
     *out = compared.outcome;
   }
@@ -277,8 +277,8 @@
         {.seed = seed, .config = config, .writes_per_second = 40, .writes_per_second_later = 25});
     for (int i = 0; i < 40; ++i) {
       auto spec = job_spec("job-" + std::to_string(i), 3, 1);
-      spec.estimate_s = 10;
-      if (i % 4 == 0) spec.shape = wire::Shape::gang;
+      spec.estimated_run_s = 10;
+      if (i % 4 == 0) spec.kind = wire::JobKind::gang;
       simulation.submit(spec, i % 5 == 0 ? std::optional<double>(15) : std::nullopt);
       simulation.run(0.4);
       if (i == 20) simulation.lower_limits();
--- a/tests/stored_formats_test.cpp
+++ b/tests/stored_formats_test.cpp
@@ -61,9 +61,9 @@
 
 TEST(StoredFormats, JobRecord) {
   const auto record = production_job();
-  EXPECT_EQ(record.spec.shape, wire::Shape::array);
+  EXPECT_EQ(record.spec.kind, wire::JobKind::array);
   EXPECT_EQ(record.spec.priority, wire::Priority::high);
-  EXPECT_EQ(record.spec.tasks, 16u);
+  EXPECT_EQ(record.spec.task_count, 16u);
   EXPECT_EQ(record.submitted_ms, 1790000000123);
   EXPECT_EQ(core::to_json(record).dump(), kJob);
   EXPECT_EQ(hex(wire::encode(core::to_json(record))), kJobBytes);
@@ -72,7 +72,7 @@
 TEST(StoredFormats, FinalRecord) {
   const std::string text = R"({"done":16,"stage":"done"})";
   const auto record = core::parse_final_record(Json::parse(text));
-  EXPECT_EQ(record.stage, wire::Stage::done);
+  EXPECT_EQ(record.state, wire::JobState::done);
   EXPECT_EQ(record.done, 16u);
   EXPECT_EQ(core::to_json(record).dump(), text);
 }
@@ -89,7 +89,7 @@
   ASSERT_TRUE(page.contains(id));
   EXPECT_EQ(page.at(id), expected);
   EXPECT_EQ(core::to_json(page).dump(), kPage);
-  EXPECT_EQ(core::key::page(Token(41), 7), "page/00000000000000000041-00000000000000000007");
+  EXPECT_EQ(core::key::page(FencingToken(41), 7), "page/00000000000000000041-00000000000000000007");
 }
 
 TEST(StoredFormats, KeysOfJobs) {
@@ -111,7 +111,7 @@
 
 TEST(StoredFormats, RentalsAndReturns) {
   const std::string rental = R"({"build":"g8","charter":"r-41-1","count":12,"ebbtide":true,"polder":"a"})";
-  EXPECT_EQ(wire::to_json(wire::parse_rental(Json::parse(rental))).dump(), rental);
+  EXPECT_EQ(wire::to_json(wire::parse_scale_out_request(Json::parse(rental))).dump(), rental);
   const std::string machines = R"({"dykes":["n-000231","n-000232"]})";
   EXPECT_EQ(wire::machine_names(wire::parse_machine_names(Json::parse(machines))).dump(), machines);
 }
--- a/tests/upgrade_story_test.cpp
+++ b/tests/upgrade_story_test.cpp
@@ -19,14 +19,14 @@
 
 wire::JobSpec short_job(int number, TaskIndex tasks = 3) {
   auto spec = job_spec("job-" + std::to_string(number), tasks);
-  spec.estimate_s = 12;
+  spec.estimated_run_s = 12;
   return spec;
 }
 
 wire::JobSpec gang(const std::string& id, double run_s) {
   auto spec = job_spec(id, 4);
-  spec.shape = wire::Shape::gang;
-  spec.estimate_s = run_s;
+  spec.kind = wire::JobKind::gang;
+  spec.estimated_run_s = run_s;
   return spec;
 }
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -55,8 +55,8 @@
   body["pieces"] = 16.0;
   body["vcpus"] = 8;
   const auto spec = wire::parse_job(body);
-  EXPECT_EQ(spec.tasks, 16u);
-  EXPECT_EQ(spec.each.cpus, 8.0);
+  EXPECT_EQ(spec.task_count, 16u);
+  EXPECT_EQ(spec.task_resources.cpus, 8.0);
 }
 
 TEST(Codec, InvalidFieldsOfASubmissionAreRefused) {
@@ -119,22 +119,22 @@
   auto body = submission();
   body["shape"] = "group";
   const auto spec = wire::parse_job(body);
-  EXPECT_EQ(spec.shape, wire::Shape::gang);
+  EXPECT_EQ(spec.kind, wire::JobKind::gang);
   EXPECT_EQ(wire::to_json(spec)["shape"], "group");
 }
 
 // A whole report lost for one word would let the worker's lease run out. The task counts as there, in a state
 // that proves nothing.
 TEST(Codec, ReportWithAnUnknownWordIsReadAndTheTaskCountsAsThere) {
-  Json report{{"dyke", "n-1"},        {"endpoint", "10.1.0.1:9000"},
-              {"build", "g8"},        {"polder", "a"},
-              {"ebbtide", true},      {"watch", 1},
-              {"tally", 8},           {"warrant", 4},
-              {"warning_s", nullptr}, {"pieces", Json::array()}};
-  EXPECT_EQ(wire::parse_report(report).sequence, 8u);
+  Json heartbeat{{"dyke", "n-1"},        {"endpoint", "10.1.0.1:9000"},
+                 {"build", "g8"},        {"polder", "a"},
+                 {"ebbtide", true},      {"watch", 1},
+                 {"tally", 8},           {"warrant", 4},
+                 {"warning_s", nullptr}, {"pieces", Json::array()}};
+  EXPECT_EQ(wire::parse_heartbeat(heartbeat).sequence_number, 8u);
   const auto only_task = [&](Json task) {
-    report["pieces"] = Json::array({std::move(task)});
-    return wire::parse_report(report).tasks.at(0);
+    heartbeat["pieces"] = Json::array({std::move(task)});
+    return wire::parse_heartbeat(heartbeat).tasks.at(0);
   };
   const auto sleeping = only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "sleeping"}});
   EXPECT_EQ(sleeping.state, wire::TaskState::unknown);
@@ -225,7 +225,7 @@
 
 TEST(Records, JobRecordSurvivesTheStore) {
   const auto back = parse_job_record(to_json(job_record(job_spec("job-1", 100'000))));
-  EXPECT_EQ(back.spec.tasks, 100'000u);
+  EXPECT_EQ(back.spec.task_count, 100'000u);
   EXPECT_EQ(back.spec.id, JobId("job-1"));
 }
 
@@ -233,8 +233,8 @@
   const auto txn = cancellation(job_record(job_spec("job-1", 1)), Revision(5), 0, 1234, 4096);
   ASSERT_EQ(txn.puts.size(), 2u);
   EXPECT_EQ(txn.puts[1].key, key::linger(JobId("job-1")));
-  EXPECT_EQ(txn.guards[0].version, Revision(5));
-  EXPECT_EQ(txn.removals, std::vector<std::string>{key::open(JobId("job-1"))});
+  EXPECT_EQ(txn.preconditions[0].version, Revision(5));
+  EXPECT_EQ(txn.deletions, std::vector<std::string>{key::open(JobId("job-1"))});
   const auto lingering = std::find_if(txn.puts.begin(), txn.puts.end(),
                                       [](const auto& put) { return put.key == "linger/job-1"; });
   ASSERT_NE(lingering, txn.puts.end());
