--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -49,7 +49,7 @@
   }
   std::map<std::string, std::uint64_t> rented_by_zone() {
     std::map<std::string, std::uint64_t> rented;
-    for (const auto& rent : seen<Rent>()) rented[rent.rental.zone] += rent.rental.count;
+    for (const auto& rent : seen<RequestScaleOut>()) rented[rent.rental.zone] += rent.rental.count;
     return rented;
   }
   // What the worker shows of its task of the gang's attempt.
@@ -69,7 +69,7 @@
   settle();
   EXPECT_EQ(count(answer(one), CommandKind::start), 0u);
   EXPECT_EQ(count(answer(two), CommandKind::start), 0u);
-  EXPECT_TRUE(cluster.job(JobId("job-1"))->placements.empty()) << "no halves are held";
+  EXPECT_TRUE(cluster.job(JobId("job-1"))->assignments.empty()) << "no halves are held";
 }
 
 TEST_F(GangTest, HasOneAttemptNumberForAllItsTasks) {
@@ -88,20 +88,20 @@
   store_answers = false;
   submit(gang_spec("job-1", 2));
   settle();
-  const auto save = cluster.next_save(now);
+  const auto save = cluster.next_write(now);
   ASSERT_TRUE(save);
   EXPECT_EQ(save->transaction.puts.at(0).key, "gang/job-1/1/0");
-  EXPECT_EQ(cluster.hold(MachineId("n-1"), now), AnswerDelay::save);
+  EXPECT_EQ(cluster.response_hold(MachineId("n-1"), now), ResponseHold::awaiting_write);
   EXPECT_EQ(count(answer(one), CommandKind::start), 0u) << "not on record yet";
-  cluster.apply(SaveDone{save->number}, now);
+  cluster.apply(WriteApplied{save->number}, now);
   EXPECT_EQ(count(answer(two), CommandKind::start), 1u);
 }
 
 class GangInPartsTest : public GangTest {
  protected:
-  static Config config_with_small_values() {
+  static ClusterConfig config_with_small_values() {
     auto config = cluster_config();
-    config.value_bytes = 256 + 70;  // one machine a part, beside the margin
+    config.max_value_bytes = 256 + 70;  // one machine a part, beside the margin
     return config;
   }
   GangInPartsTest() : GangTest(config_with_small_values()) {}
@@ -112,13 +112,13 @@
   store_answers = false;
   submit(gang_spec("job-1", 2));
   settle();
-  const auto first = cluster.next_save(now);
-  const auto second = cluster.next_save(now);
+  const auto first = cluster.next_write(now);
+  const auto second = cluster.next_write(now);
   ASSERT_TRUE(first && second);
-  cluster.apply(SaveDone{second->number}, now);
+  cluster.apply(WriteApplied{second->number}, now);
   EXPECT_EQ(count(answer(one), CommandKind::start), 0u);
   heartbeat_only(one);
-  cluster.apply(SaveDone{first->number}, now);
+  cluster.apply(WriteApplied{first->number}, now);
   EXPECT_EQ(count(answer(one), CommandKind::start), 1u);
 }
 
@@ -156,7 +156,7 @@
   EXPECT_EQ(count(answer(two), CommandKind::stop), 1u);
   show(two, TaskState::exited, ExitCause::stopped, 3);
   heartbeat_only(two);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->gang.number, 4u) << "the next attempt, once all are gone";
+  EXPECT_EQ(cluster.job(JobId("job-1"))->gang.attempt, 4u) << "the next attempt, once all are gone";
 }
 
 TEST_F(GangTest, RecordsOfEarlierAttemptsAndOfJobsThatAreOverAreRemoved) {
@@ -168,7 +168,7 @@
   heartbeat_only(one);
   pass(4);
   std::vector<std::string> removed;
-  for (const auto& each : seen<RemoveKeys>())
+  for (const auto& each : seen<DeleteKeys>())
     removed.insert(removed.end(), each.keys.begin(), each.keys.end());
   EXPECT_NE(std::find(removed.begin(), removed.end(), "gang/job-1/1/0"), removed.end());
   EXPECT_EQ(std::find(removed.begin(), removed.end(), "gang/job-1/2/0"), removed.end());
@@ -179,13 +179,13 @@
   store_answers = false;
   submit(gang_spec("job-1", 2));
   settle();
-  const auto save = cluster.next_save(now);
+  const auto save = cluster.next_write(now);
   ASSERT_TRUE(save);
   const auto& preconditions = save->transaction.preconditions;
   ASSERT_TRUE(std::any_of(preconditions.begin(), preconditions.end(), [](const auto& each) {
     return each.key == "open/job-1";
   })) << "a copy that is carried out late must find the job open";
-  cluster.apply(SaveConflict{save->number, {"open/job-1"}}, now);
+  cluster.apply(WriteConflicted{save->number, {"open/job-1"}}, now);
   EXPECT_EQ(count(answer(one), CommandKind::start), 0u);
 }
 
@@ -213,14 +213,14 @@
   show(one, TaskState::exited, ExitCause::done);
   heartbeat_only(one);
   EXPECT_EQ(count(answer(one), CommandKind::acknowledge), 0u);
-  const auto save = cluster.next_save(now);
+  const auto save = cluster.next_write(now);
   ASSERT_TRUE(save);
   ASSERT_EQ(save->finals, std::vector<JobId>{JobId("job-1")});
   EXPECT_EQ(save->transaction.puts.at(0).value.at("done"), 2);
   show(two, TaskState::exited, ExitCause::done);
   heartbeat_only(two);
   EXPECT_EQ(count(answer(two), CommandKind::acknowledge), 0u);
-  cluster.apply(SaveDone{save->number}, now);
+  cluster.apply(WriteApplied{save->number}, now);
   EXPECT_EQ(cluster.job(JobId("job-1")), nullptr);
   EXPECT_EQ(count(exchange(one), CommandKind::acknowledge), 1u);
   EXPECT_EQ(count(exchange(two), CommandKind::acknowledge), 1u);
@@ -247,7 +247,7 @@
   exchange(one);
   one.tasks.clear();
   ASSERT_EQ(cluster.jobs(), 1u);
-  for (int i = 0; i < cluster_config().lease_s + 4; ++i) {
+  for (int i = 0; i < cluster_config().worker_lease_s + 4; ++i) {
     exchange(one);
     pass(1);
   }
@@ -280,16 +280,16 @@
   running_gang();
   show(one, TaskState::unknown);
   exchange(one);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.size(), 2u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u);
   EXPECT_EQ(count(exchange(two), CommandKind::stop), 0u);
 }
 
 class GangWithLongLeasesTest : public GangTest {
  protected:
-  static Config config_with_long_leases() {
+  static ClusterConfig config_with_long_leases() {
     auto config = cluster_config();
-    config.lease_s = 45;  // beyond `gang_wait_s`: no lease ends in time
-    config.cancel_s = 75;
+    config.worker_lease_s = 45;  // beyond `gang_wait_s`: no lease ends in time
+    config.cancellation_timeout_s = 75;
     return config;
   }
   GangWithLongLeasesTest() : GangTest(config_with_long_leases()) {}
@@ -304,21 +304,21 @@
   show(one, TaskState::waiting);
   const double began = now;
   bool stopped = false;
-  while (!stopped && now - began < cluster_config().gang_wait_s) {
+  while (!stopped && now - began < cluster_config().gang_assembly_timeout_s) {
     pass(1);
     stopped = count(exchange(one), CommandKind::stop) > 0;
   }
   EXPECT_TRUE(stopped);
-  EXPECT_LT(now - began, 0.7 * cluster_config().gang_wait_s);
+  EXPECT_LT(now - began, 0.7 * cluster_config().gang_assembly_timeout_s);
 }
 
 TEST_F(GangTest, IsRentedForWhereAllOfItCanBeHadAlsoWhenAnotherZoneHasRoomForSome) {
   submit_gang_bound_to_one_zone();
   pass(3);
-  const auto refused = seen<Rent>();
+  const auto refused = seen<RequestScaleOut>();
   ASSERT_FALSE(refused.empty());
   const std::string zone = refused.at(0).rental.zone;
-  for (const auto& rent : refused) cluster.apply(RentRefused{rent.rental.id}, now);
+  for (const auto& rent : refused) cluster.apply(ScaleOutRefused{rent.rental.id}, now);
   effects.clear();
   one = ready_worker("n-1", zone, false);
   for (int i = 0; i < 3; ++i) {
@@ -341,12 +341,12 @@
 TEST_F(GangTest, IsRentedForInAnotherZoneAfterARefusal) {
   submit_gang_bound_to_one_zone();
   pass(6);
-  const auto first = seen<Rent>();
+  const auto first = seen<RequestScaleOut>();
   ASSERT_FALSE(first.empty());
-  for (const auto& rent : first) cluster.apply(RentRefused{rent.rental.id}, now);
+  for (const auto& rent : first) cluster.apply(ScaleOutRefused{rent.rental.id}, now);
   effects.clear();
   pass(3);
-  const auto again = seen<Rent>();
+  const auto again = seen<RequestScaleOut>();
   ASSERT_FALSE(again.empty());
   EXPECT_NE(again.at(0).rental.zone, first.at(0).rental.zone);
 }
@@ -364,9 +364,9 @@
 
 TEST_F(GangTest, CountsAgainstItsTeamsLimitAsAWhole) {
   auto config = cluster_config();
-  config.teams[0].limit.cpus = 12;
+  config.teams[0].quota.cpus = 12;
   cluster = Cluster(config, FencingToken(kToken), 0, 0);
-  cluster.apply(TypesChanged{{small_type()}}, now);
+  cluster.apply(MachineTypesChanged{{small_type()}}, now);
   two_machines();
   submit(gang_spec("job-1", 2));
   settle();
--- a/tests/invariants.cpp
+++ b/tests/invariants.cpp
@@ -22,7 +22,8 @@
   spdlog::debug("simulation t={:.1f} {} try {} starts on {}", time(), wire::spelled(task.ref), task.attempt,
                 here.id);
   const SimJob& job = jobs_.at(task.ref.job.value);
-  if (job.cancelled_at && seconds_between(*job.cancelled_at, loop.now()) > options_.config.cancel_s)
+  if (job.cancelled_at &&
+      seconds_between(*job.cancelled_at, loop.now()) > options_.config.cancellation_timeout_s)
     ADD_FAILURE() << "ran_cancelled: " << wire::spelled(task.ref) << " starts";
   wire::Resources used;
   std::map<std::string, std::size_t> zones;
@@ -37,7 +38,7 @@
       if (each.ref.job == task.ref.job) ++zones[worker->zone];
     }
   for (const auto& team : options_.config.teams)
-    if (team.name == job.spec.team && team.limit.cpus > 0 && used.cpus > team.limit.cpus + 1e-6)
+    if (team.name == job.spec.team && team.quota.cpus > 0 && used.cpus > team.quota.cpus + 1e-6)
       ADD_FAILURE() << "quota: " << team.name << " uses " << used.cpus;
   if (here.spot && !job.spec.spot_allowed) ADD_FAILURE() << "wrong_place: " << wire::spelled(task.ref);
   if (job.spec.zone && *job.spec.zone != here.zone) ADD_FAILURE() << "wrong_place: zone";
@@ -52,7 +53,7 @@
       const SimJob& job = jobs_.at(task.ref.job.value);
       if (!job.cancelled_at || !on(*worker, task)) continue;
       const double since_s = seconds_between(*job.cancelled_at, loop.now());
-      if (since_s > options_.config.cancel_s)
+      if (since_s > options_.config.cancellation_timeout_s)
         ADD_FAILURE() << "ran_cancelled: " << wire::spelled(task.ref) << " is on " << worker->id << " "
                       << since_s << " s after the cancellation";
     }
@@ -87,7 +88,7 @@
                           const std::map<std::string, std::size_t>& zones) const {
   used += spec.task_resources;
   for (const auto& team : options_.config.teams)
-    if (team.name == spec.team && team.limit.cpus > 0 && used.cpus > team.limit.cpus + 1e-6) return false;
+    if (team.name == spec.team && team.quota.cpus > 0 && used.cpus > team.quota.cpus + 1e-6) return false;
   return std::any_of(workers_.begin(), workers_.end(), [&](const auto& worker) {
     if (worker->gone_at || worker->up_at > loop.now() || (worker->spot && !spec.spot_allowed) ||
         (spec.zone && *spec.zone != worker->zone) ||
@@ -106,7 +107,7 @@
 bool Simulation::has_room_for_gang(const wire::JobSpec& spec, wire::Resources used) const {
   used += spec.task_resources * spec.task_count;
   for (const auto& team : options_.config.teams)
-    if (team.name == spec.team && team.limit.cpus > 0 && used.cpus > team.limit.cpus + 1e-6) return false;
+    if (team.name == spec.team && team.quota.cpus > 0 && used.cpus > team.quota.cpus + 1e-6) return false;
   std::map<std::string, std::size_t> fits;  // by zone
   for (const auto& worker : workers_) {
     if (worker->gone_at || worker->up_at > loop.now() || (worker->spot && !spec.spot_allowed) ||
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -13,11 +13,11 @@
 constexpr int kJobs = 41;
 constexpr TaskIndex kTasksPerJob = 100;
 
-core::Config large_config() {
+core::ClusterConfig large_config() {
   auto config = cluster_config();
   config.heartbeat_interval_s = 10;
-  config.lease_s = 35;
-  config.cancel_s = 60;
+  config.worker_lease_s = 35;
+  config.cancellation_timeout_s = 60;
   config.cloud_rps = 8;
   config.write_rps = 200;
   config.max_machines = kMachines;
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -61,8 +61,8 @@
     for (int i = 0; i < 3; ++i) simulation.cancel("job-" + std::to_string(i), other);
     if (gap.hang) simulation.hang(*simulation.workers_of("job-0").at(0), 12);
     simulation.run(gap.outage_after_s - gap.cancel_after_s);
-    simulation.outage(simulation.config().cancel_s + 15);
-    simulation.run(simulation.config().cancel_s + 25);
+    simulation.outage(simulation.config().cancellation_timeout_s + 15);
+    simulation.run(simulation.config().cancellation_timeout_s + 25);
     if (HasFailure()) return;
     EXPECT_TRUE(simulation.job("job-0").cancelled_at) << "the story needs a confirmation before the outage";
     EXPECT_EQ(simulation.tasks_on_machines("job-0"), 0u);
@@ -95,9 +95,9 @@
 
 // The usual work of these stories: short and long jobs, some bound to one zone or spread over several, and a
 // team that is at its limit.
-core::Config limited_config() {
+core::ClusterConfig limited_config() {
   auto config = cluster_config();
-  config.teams[1].limit.cpus = 16;
+  config.teams[1].quota.cpus = 16;
   return config;
 }
 
@@ -347,7 +347,7 @@
      [](Simulation& simulation) {
        // Their leases run out, but until they go on or are deleted the tasks are on them.
        const auto hung = simulation.workers_of("job-40");
-       for (auto* worker : hung) simulation.hang(*worker, simulation.config().cancel_s + 20);
+       for (auto* worker : hung) simulation.hang(*worker, simulation.config().cancellation_timeout_s + 20);
        simulation.run(1);
        cancel_long_jobs(simulation);
        simulation.run(8);
@@ -355,7 +355,7 @@
        simulation.cloud_out = true;  // the cloud refuses at first, too
        simulation.run(16);
        simulation.cloud_out = false;
-       simulation.run(simulation.config().cancel_s - 25);
+       simulation.run(simulation.config().cancellation_timeout_s - 25);
        for (const auto* worker : hung) EXPECT_TRUE(worker->gone_at) << worker->id << " still holds them";
      }},
     {"LeaderEndsWhileMachinesWithLongTasksCantBeReached",
@@ -391,8 +391,8 @@
        simulation.run(1.5);
        cancel_long_jobs(simulation);
        simulation.run(1.5);
-       simulation.outage(simulation.config().cancel_s + 10);
-       simulation.run(simulation.config().cancel_s + 12);
+       simulation.outage(simulation.config().cancellation_timeout_s + 10);
+       simulation.run(simulation.config().cancellation_timeout_s + 12);
      }},
     {"LeaderKeepsOnlyItsWorkersAndUsers",
      [](Simulation& simulation) {
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -152,7 +152,7 @@
 }
 
 TEST_F(NodeTest, AGangIsAcceptedOnlyIfAllOfItCanRunTogether) {
-  settings_change = [](app::Settings& settings) { settings.cluster.teams[1].limit.cpus = 12; };
+  settings_change = [](app::Settings& settings) { settings.cluster.teams[1].quota.cpus = 12; };
   auto& node = start(0);
   ASSERT_TRUE(until([&] { return node.leading() && ready(node); }));
   auto gang = job_spec("job-1", 3, 4);
@@ -198,7 +198,7 @@
 }
 
 TEST_F(NodeTest, ARecordTooLargeForAValueIsRefusedUnlessTheJobIsKnown) {
-  settings_change = [](app::Settings& settings) { settings.cluster.value_bytes = 1024; };
+  settings_change = [](app::Settings& settings) { settings.cluster.max_value_bytes = 1024; };
   auto& node = start(0);
   ASSERT_TRUE(until([&] { return node.leading() && ready(node); }));
   auto spec = job_spec("job-1", 1);
@@ -400,7 +400,9 @@
 // ---------------------------------------------------------------------------------------
 
 TEST_F(NodeTest, LeaderWithoutStoreAndCompanyTurnsUnhealthyAndLetsItsWorkersGo) {
-  settings_change = [](app::Settings& settings) { settings.cluster.cancel_s = settings.cluster.lease_s + 4; };
+  settings_change = [](app::Settings& settings) {
+    settings.cluster.cancellation_timeout_s = settings.cluster.worker_lease_s + 4;
+  };
   auto& cut = start(0, 2);
   ASSERT_TRUE(until([&] { return cut.leading() && ready(cut); }));
   auto& next = start(1, 2);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -19,7 +19,7 @@
   submit(spec);
   EXPECT_EQ(count(exchange(first), CommandKind::start) + count(exchange(second), CommandKind::start), 2u);
   auto far = ready_worker("n-3", "b");
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.size(), 3u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 3u);
 }
 
 TEST_F(PlacementTest, OneZoneJobStaysWhereItsFirstTaskIs) {
@@ -31,10 +31,10 @@
   submit(spec);
   settle();
   std::set<std::string> zones;
-  for (const auto& [index, placement] : cluster.job(JobId("job-1"))->placements)
-    zones.insert(placement.machine->zone);
+  for (const auto& [index, assignment] : cluster.job(JobId("job-1"))->assignments)
+    zones.insert(assignment.machine->zone);
   EXPECT_EQ(zones.size(), 1u);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.size(), 2u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u);
 }
 
 TEST_F(PlacementTest, JobThatMayNotUseSpotMachinesWaitsForAnother) {
@@ -45,8 +45,8 @@
   submit(spec);
   EXPECT_EQ(count(exchange(spot), CommandKind::start), 0u);
   pass(8);
-  ASSERT_FALSE(seen<Rent>().empty());
-  EXPECT_FALSE(seen<Rent>()[0].rental.spot);
+  ASSERT_FALSE(seen<RequestScaleOut>().empty());
+  EXPECT_FALSE(seen<RequestScaleOut>()[0].rental.spot);
 }
 
 TEST_F(PlacementTest, UrgentJobGoesFirst) {
@@ -56,50 +56,50 @@
   urgent.priority = wire::Priority::high;
   submit(urgent);
   auto worker = ready_worker("n-1");
-  EXPECT_EQ(cluster.job(JobId("job-2"))->placements.size(), 2u);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.size(), 0u);
+  EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.size(), 2u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 0u);
 }
 
 TEST_F(PlacementTest, WaitingWorkRentsTheCheapestKindAndTriesTheNextWhenRefused) {
   loaded();
   submit(job_spec("job-1", 2));
   pass(6);
-  auto rents = seen<Rent>();
+  auto rents = seen<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_TRUE(rents[0].rental.spot);
   EXPECT_EQ(rents[0].rental.count, 1u);
-  cluster.apply(RentRefused{rents[0].rental.id}, now);
+  cluster.apply(ScaleOutRefused{rents[0].rental.id}, now);
   pass(5);
-  rents = seen<Rent>();
+  rents = seen<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 2u);
   EXPECT_TRUE(rents[1].rental.spot);
   EXPECT_NE(rents[1].rental.zone, rents[0].rental.zone);
   EXPECT_NE(rents[1].rental.id, rents[0].rental.id);
-  cluster.apply(RentRefused{rents[1].rental.id}, now);
+  cluster.apply(ScaleOutRefused{rents[1].rental.id}, now);
   pass(5);
-  rents = seen<Rent>();
+  rents = seen<RequestScaleOut>();
   for (const auto& each : rents)
     EXPECT_TRUE(each.rental.spot) << "not an ordinary one while the job has time to wait";
-  for (int i = 0; i < 20 && seen<Rent>().back().rental.spot; ++i) {
+  for (int i = 0; i < 20 && seen<RequestScaleOut>().back().rental.spot; ++i) {
     pass(5);
-    rents = seen<Rent>();
-    if (rents.back().rental.spot) cluster.apply(RentRefused{rents.back().rental.id}, now);
+    rents = seen<RequestScaleOut>();
+    if (rents.back().rental.spot) cluster.apply(ScaleOutRefused{rents.back().rental.id}, now);
   }
-  EXPECT_FALSE(seen<Rent>().back().rental.spot);
+  EXPECT_FALSE(seen<RequestScaleOut>().back().rental.spot);
   EXPECT_LE(now, 75);
 }
 
 TEST_F(PlacementTest, RentOfAnEarlierLeaderIsAskedAgainUnderItsName) {
-  cluster.apply(RentLoaded{{ScaleOutId("r-20-1"), "small", "a", true, 2}}, now);
+  cluster.apply(ScaleOutLoaded{{ScaleOutId("r-20-1"), "small", "a", true, 2}}, now);
   loaded();
-  const auto rents = seen<Rent>();
+  const auto rents = seen<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_EQ(rents[0].rental.id, ScaleOutId("r-20-1"));
   EXPECT_TRUE(rents[0].recorded);
-  cluster.apply(RentAnswered{ScaleOutId("r-20-1"), {MachineId("n-1"), MachineId("n-2")}}, now);
+  cluster.apply(ScaleOutGranted{ScaleOutId("r-20-1"), {MachineId("n-1"), MachineId("n-2")}}, now);
   submit(job_spec("job-1", 4));
   pass(10);
-  EXPECT_EQ(seen<Rent>().size(), 1u) << "the booting machines are enough";
+  EXPECT_EQ(seen<RequestScaleOut>().size(), 1u) << "the booting machines are enough";
 }
 
 TEST_F(PlacementTest, NearlyDoneTasksAreWaitedForBeforeRenting) {
@@ -119,7 +119,7 @@
     pass(2);
     exchange(worker);
   }
-  EXPECT_TRUE(seen<Rent>().empty());
+  EXPECT_TRUE(seen<RequestScaleOut>().empty());
 }
 
 TEST_F(PlacementTest, EmptyMachineGoesBackOnlyAfterAWhile) {
@@ -129,13 +129,13 @@
     pass(2);
     exchange(worker);
   }
-  EXPECT_TRUE(seen<ReturnMachines>().empty());
+  EXPECT_TRUE(seen<RequestScaleIn>().empty());
   for (int i = 0; i < 30; ++i) {
     pass(2);
     exchange(worker);
   }
-  ASSERT_FALSE(seen<ReturnMachines>().empty());
-  EXPECT_EQ(seen<ReturnMachines>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
+  ASSERT_FALSE(seen<RequestScaleIn>().empty());
+  EXPECT_EQ(seen<RequestScaleIn>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
 }
 
 TEST_F(PlacementTest, LastingWorkOnAnOrdinaryMachineRentsASpotOneAndItsEndStopsThat) {
@@ -147,21 +147,21 @@
   exchange(worker);
   worker.shows("job-1", 0, 1, TaskState::running);
   worker.shows("job-1", 1, 1, TaskState::running);
-  for (int i = 0; i < 60 && seen<Rent>().empty(); ++i) {
+  for (int i = 0; i < 60 && seen<RequestScaleOut>().empty(); ++i) {
     pass(2);
     exchange(worker);
   }
-  const auto rents = seen<Rent>();
+  const auto rents = seen<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_TRUE(rents[0].rental.spot);
-  cluster.apply(RentRefused{rents[0].rental.id}, now);
-  cluster.apply(JobOffRecord{JobId("job-1")}, now);
+  cluster.apply(ScaleOutRefused{rents[0].rental.id}, now);
+  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
   worker.tasks.clear();
   for (int i = 0; i < 60; ++i) {
     pass(2);
     exchange(worker);
   }
-  EXPECT_EQ(seen<Rent>().size(), 1u);
+  EXPECT_EQ(seen<RequestScaleOut>().size(), 1u);
 }
 
 TEST_F(PlacementTest, MachineThatNeverBootsIsDeleted) {
@@ -169,9 +169,9 @@
   cluster.apply(MachinesListed{{{MachineId("n-1"), "small", "a", true, wire::InstanceState::booting, 1}}},
                 now);
   pass(100);
-  EXPECT_TRUE(seen<ReturnMachines>().empty());
+  EXPECT_TRUE(seen<RequestScaleIn>().empty());
   pass(60);
-  EXPECT_FALSE(seen<ReturnMachines>().empty());
+  EXPECT_FALSE(seen<RequestScaleIn>().empty());
 }
 
 TEST_F(PlacementTest, MachineThatFailsTasksOfSeveralJobsIsDrainedAndDeleted) {
@@ -190,7 +190,7 @@
     pass(2);
     exchange(worker);
   }
-  EXPECT_EQ(seen<ReturnMachines>().at(0).machines[0], MachineId("n-1"));
+  EXPECT_EQ(seen<RequestScaleIn>().at(0).machines[0], MachineId("n-1"));
 }
 
 TEST_F(PlacementTest, MachineOnWhichTasksTakeSeveralTimesAsLongAsElsewhereIsLeft) {
@@ -220,10 +220,10 @@
   EXPECT_EQ(run(8), 2u);
   workers[2].tasks.clear();
   run(2);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->waiting(), 2u) << "they go on elsewhere";
+  EXPECT_EQ(cluster.job(JobId("job-1"))->waiting_tasks(), 2u) << "they go on elsewhere";
   run(6);
   std::set<MachineId> returned;
-  for (const auto& effect : seen<ReturnMachines>())
+  for (const auto& effect : seen<RequestScaleIn>())
     returned.insert(effect.machines.begin(), effect.machines.end());
   EXPECT_TRUE(returned.contains(MachineId("n-3")));
 
@@ -304,8 +304,8 @@
     exchange(worker);
   }
   std::size_t stopping = 0;
-  for (const auto& [index, placement] : cluster.job(JobId("job-1"))->placements)
-    stopping += placement.stopping;
+  for (const auto& [index, assignment] : cluster.job(JobId("job-1"))->assignments)
+    stopping += assignment.stopping;
   EXPECT_EQ(stopping, 1u);
 }
 
@@ -316,9 +316,9 @@
   submit(job_spec("job-1", 100'000, 0.05));
   for (int i = 0; i < 15; ++i) settle();
   const Job* job = cluster.job(JobId("job-1"));
-  EXPECT_EQ(job->placements.size(), 30u * 160u);
+  EXPECT_EQ(job->assignments.size(), 30u * 160u);
   EXPECT_TRUE(std::all_of(job->tasks.begin(), job->tasks.begin() + 4800,
-                          [](const TaskSlot& slot) { return slot.durable(); }));
+                          [](const TaskProgress& slot) { return slot.durable(); }));
   std::size_t pages = 0;
   for (const auto& save : saves) {
     ASSERT_EQ(save.transaction.puts.size(), 1u);
@@ -331,7 +331,7 @@
 // Small tasks strewn over the only machines that hold large ones kept these out for minutes (an incident).
 TEST_F(PlacementTest, SmallTasksLeaveAMachineToTheLargeOneThatNeedsIt) {
   auto large = small_type("large", 16, 4.0, 1.2);
-  cluster.apply(TypesChanged{{small_type(), large}}, now);
+  cluster.apply(MachineTypesChanged{{small_type(), large}}, now);
   loaded();
   Worker worker{"n-1"};
   worker.type = "large";
@@ -346,16 +346,16 @@
   for (int i = 0; i < 5; ++i) {
     pass(1);
     exchange(worker);
-    for (const auto& rent : seen<Rent>()) cluster.apply(RentRefused{rent.rental.id}, now);
+    for (const auto& rent : seen<RequestScaleOut>()) cluster.apply(ScaleOutRefused{rent.rental.id}, now);
   }
   auto small = job_spec("job-3", 2);
   small.priority = wire::Priority::high;
   small.deadline_s = 300;
   submit(small);
   settle();
-  EXPECT_EQ(cluster.job(JobId("job-3"))->placements.size(), 0u);
+  EXPECT_EQ(cluster.job(JobId("job-3"))->assignments.size(), 0u);
   pass(4);
-  const auto rents = seen<Rent>();
+  const auto rents = seen<RequestScaleOut>();
   EXPECT_TRUE(
       std::any_of(rents.begin(), rents.end(), [](const auto& each) { return each.rental.type == "small"; }));
 }
@@ -368,7 +368,7 @@
   submit(large);
   std::size_t urgent = 2;
   double waited = 0;
-  while (!cluster.job(JobId("job-1"))->begun && waited < 240) {
+  while (!cluster.job(JobId("job-1"))->started && waited < 240) {
     for (int i = 0; i < 2; ++i) {
       auto spec = job_spec("job-" + std::to_string(urgent++), 1, 8);
       spec.priority = wire::Priority::high;
@@ -406,21 +406,21 @@
   patient.deadline_s = 300;
   submit(patient);
   settle();
-  EXPECT_TRUE(cluster.job(JobId("job-2"))->placements.empty()) << "n-1 has room and will report soon";
+  EXPECT_TRUE(cluster.job(JobId("job-2"))->assignments.empty()) << "n-1 has room and will report soon";
   auto hasty = job_spec("job-3", 1, 8);
   hasty.deadline_s = 45;
   submit(hasty);
   settle();
-  EXPECT_EQ(cluster.job(JobId("job-3"))->placements.size(), 1u);
+  EXPECT_EQ(cluster.job(JobId("job-3"))->assignments.size(), 1u);
   heartbeat_only(used);
-  EXPECT_EQ(cluster.job(JobId("job-2"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.at(0).machine->id, MachineId("n-1"));
 }
 
 // At 1,750 machines passes over the whole fleet took most of the leader's processor.
 TEST_F(PlacementTest, WorkOfAReportDoesNotGrowWithTheFleet) {
   Cluster large(cluster_config(), FencingToken(kToken), 0, 0);
-  large.apply(TypesChanged{{small_type()}}, 0);
-  large.apply(LoadDone{}, 0);
+  large.apply(MachineTypesChanged{{small_type()}}, 0);
+  large.apply(LoadCompleted{}, 0);
   constexpr int kMachines = 2050;
   constexpr int kJobs = 300;
   for (int i = 0; i < kJobs; ++i) {
@@ -434,9 +434,9 @@
   std::size_t started = 0;
   Time time = 1;
   auto save = [&] {
-    while (auto due = large.next_save(time)) {
+    while (auto due = large.next_write(time)) {
       writes += due->transaction.puts.size();
-      large.apply(SaveDone{due->number}, time);
+      large.apply(WriteApplied{due->number}, time);
     }
   };
   for (int i = 0; i < kMachines; ++i) workers.push_back(Worker{"n-" + std::to_string(10'000 + i)});
@@ -444,13 +444,13 @@
     for (auto& worker : workers) {
       time += 0.001;
       large.apply_heartbeat(worker.heartbeat(), time);
-      large.place(time);
+      large.assign_tasks(time);
       save();
       for (const auto& command : large.commands_for(MachineId(worker.name), true, time)) {
         started += command.kind == CommandKind::start;
         worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
       }
-      large.answered(MachineId(worker.name), time);
+      large.response_sent(MachineId(worker.name), time);
       worker.token = kToken;
     }
   }
@@ -461,7 +461,7 @@
   const auto before = large.scanned();
   time += 0.001;
   large.apply_heartbeat(workers[0].heartbeat(), time);  // full
-  large.place(time);
+  large.assign_tasks(time);
   EXPECT_LE(large.scanned() - before, 2u);
   // Nor does a second's review look at every machine for every job that waits for room.
   const auto before_review = large.scanned();
@@ -472,9 +472,9 @@
 
 class StartObjectiveTest : public ClusterTest {
  protected:
-  static Config wanted_soon() {
+  static ClusterConfig wanted_soon() {
     auto config = cluster_config();
-    config.objectives = {{Objective::Kind::wait, "class", 9, 1}};
+    config.objectives = {{ServiceLevelObjective::Kind::start, "class", 9, 1}};
     return config;
   }
   StartObjectiveTest() : ClusterTest(wanted_soon()) {}
@@ -496,16 +496,16 @@
   run(20);  // of 40, and a boot takes as long: half-way through they will be done before another is up
   submit(job_spec("job-2", 2));
   run(2);
-  EXPECT_TRUE(seen<Rent>().empty());
+  EXPECT_TRUE(seen<RequestScaleOut>().empty());
   run(3);
-  EXPECT_FALSE(seen<Rent>().empty()) << "in a large fleet as much arrives as is freed";
+  EXPECT_FALSE(seen<RequestScaleOut>().empty()) << "in a large fleet as much arrives as is freed";
 }
 
 class GuaranteeTest : public ClusterTest {
  protected:
-  static Config guaranteed() {
+  static ClusterConfig guaranteed() {
     auto config = cluster_config();
-    config.teams[0].guarantee.cpus = 8;
+    config.teams[0].guaranteed_share.cpus = 8;
     return config;
   }
   GuaranteeTest() : ClusterTest(guaranteed()) {}
@@ -519,7 +519,7 @@
   submit(other);
   submit(job_spec("job-2", 2));
   auto worker = ready_worker("n-1");
-  EXPECT_EQ(cluster.job(JobId("job-2"))->placements.size(), 2u);
+  EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.size(), 2u);
 }
 
 // Two machines full of one job's work, and an urgent job that finds no room.
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-core::Config random_config() {
+core::ClusterConfig random_config() {
   auto config = cluster_config();
-  config.teams[1].limit.cpus = 16;
-  config.value_bytes = 1024;  // the lower ones, put in force at some moment
-  config.txn_ops = 3;
+  config.teams[1].quota.cpus = 16;
+  config.max_value_bytes = 1024;  // the lower ones, put in force at some moment
+  config.max_transaction_changes = 3;
   return config;
 }
 
@@ -46,16 +46,16 @@
     const auto workers = simulation_.workers_up();
     const int some = static_cast<int>(simulation_.pick(3));
     const int leader = simulation_.leader().value_or(some);
-    const auto lease_s = simulation_.config().lease_s;
+    const auto worker_lease_s = simulation_.config().worker_lease_s;
     switch (simulation_.pick(13)) {
       case 0:
         simulation_.crash(leader, simulation_.random(0.1, 6));
         break;
       case 1:
-        for (int i = 0; i < 3; ++i) simulation_.crash(i, simulation_.random(0.1, 1.5 * lease_s));
+        for (int i = 0; i < 3; ++i) simulation_.crash(i, simulation_.random(0.1, 1.5 * worker_lease_s));
         break;
       case 2:
-        simulation_.outage(simulation_.random(1, 1.2 * simulation_.config().cancel_s));
+        simulation_.outage(simulation_.random(1, 1.2 * simulation_.config().cancellation_timeout_s));
         break;
       case 3:
         simulation_.trouble(Simulation::host(leader), "store", Link::refuse, simulation_.random(2, 20));
@@ -83,12 +83,15 @@
           if (simulation_.pick(3) != 0) continue;
           const auto kind = simulation_.pick(5);
           if (kind == 0)
-            simulation_.hang(*worker, simulation_.random(1, 1.5 * simulation_.config().cancel_s));
+            simulation_.hang(*worker,
+                             simulation_.random(1, 1.5 * simulation_.config().cancellation_timeout_s));
           if (kind == 1) simulation_.die(*worker);
           if (kind == 2)
-            simulation_.trouble(worker->id, "dyke", Link::lose_answer, simulation_.random(3, 2 * lease_s));
+            simulation_.trouble(worker->id, "dyke", Link::lose_answer,
+                                simulation_.random(3, 2 * worker_lease_s));
           if (kind == 3)
-            simulation_.trouble(worker->id, "dyke", Link::lose_request, simulation_.random(3, 2 * lease_s));
+            simulation_.trouble(worker->id, "dyke", Link::lose_request,
+                                simulation_.random(3, 2 * worker_lease_s));
           if (kind == 4) simulation_.trouble(worker->id, "dyke", Link::hold, simulation_.random(2, 12));
         }
     }
@@ -125,7 +128,7 @@
     simulation.run(simulation.random(1, 6));
   }
   if (HasFailure()) return;
-  simulation.run(2.5 * simulation.config().cancel_s);  // the last troubles end
+  simulation.run(2.5 * simulation.config().cancellation_timeout_s);  // the last troubles end
   simulation.expect_answered_lately();
   simulation.expect_all_served(300);  // a team at its limit has work for so long
   simulation.expect_nothing_left(60);
--- a/tests/safety_test.cpp
+++ b/tests/safety_test.cpp
@@ -15,7 +15,7 @@
   store_answers = false;
   submit(job_spec("job-1", 1));
   EXPECT_EQ(count(exchange(worker), CommandKind::start), 0u);
-  EXPECT_EQ(cluster.hold(MachineId("n-1"), now), AnswerDelay::save);
+  EXPECT_EQ(cluster.response_hold(MachineId("n-1"), now), ResponseHold::awaiting_write);
   store_answers = true;
   const auto commands = exchange(worker);
   ASSERT_EQ(count(commands, CommandKind::start), 1u);
@@ -39,12 +39,12 @@
   Worker worker{"n-1"};
   worker.token = 20;  // an earlier leader's: it may yet start the task
   exchange(worker);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"));
   EXPECT_EQ(count(exchange(other), CommandKind::start), 0u);
   exchange(worker);  // now under our token and without the task
   settle();
-  const auto& placement = cluster.job(JobId("job-1"))->placements.at(0);
-  EXPECT_EQ(placement.attempt, 4u) << "the lost attempt's number is never used again";
+  const auto& assignment = cluster.job(JobId("job-1"))->assignments.at(0);
+  EXPECT_EQ(assignment.attempt, 4u) << "the lost attempt's number is never used again";
 }
 
 TEST_F(SafetyTest, AdoptedTaskThatItsWorkersNextSessionLacksGoesElsewhere) {
@@ -57,7 +57,7 @@
   worker.shows("job-1", 0, 1, TaskState::running);
   exchange(worker);
   exchange(worker);  // under our token: adopted
-  ASSERT_TRUE(cluster.job(JobId("job-1"))->placements.at(0).shown);
+  ASSERT_TRUE(cluster.job(JobId("job-1"))->assignments.at(0).observed);
   worker.tasks.clear();
   worker.incarnation = 2;
   worker.sequence_number = 100;
@@ -74,7 +74,7 @@
   store_answers = false;
   submit(job_spec("job-1", 1, 8));
   exchange(worker);
-  ASSERT_EQ(cluster.job(JobId("job-1"))->placements.size(), 1u);
+  ASSERT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 1u);
   auto urgent = job_spec("job-2", 1, 8);
   urgent.priority = wire::Priority::high;
   submit(urgent);
@@ -100,17 +100,17 @@
   auto other = ready_worker("n-2");
   pass(20);  // twice the lease
   exchange(other);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"));
   pass(60);
   const std::vector<MachineId> silent_one{MachineId("n-1")};
-  const auto deletions = seen<ReturnMachines>();
+  const auto deletions = seen<RequestScaleIn>();
   const bool deleted = std::any_of(deletions.begin(), deletions.end(),
                                    [&](const auto& each) { return each.machines == silent_one; });
   EXPECT_TRUE(deleted);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"))
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"))
       << "not before the cloud says so";
   cluster.apply(MachinesDeleted{"return/1", silent_one}, now);
-  EXPECT_TRUE(cluster.job(JobId("job-1"))->placements.empty());
+  EXPECT_TRUE(cluster.job(JobId("job-1"))->assignments.empty());
 }
 
 TEST_F(SafetyTest, TrustedWorkersTasksMoveOnlyAfterItsLease) {
@@ -123,10 +123,10 @@
   auto other = ready_worker("n-2");
   pass(9);
   exchange(other);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"));
   pass(3);
   exchange(other);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-2"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-2"));
 }
 
 TEST_F(SafetyTest, LateReportChangesNothing) {
@@ -138,7 +138,7 @@
   worker.shows("job-1", 0, 1, TaskState::running);
   exchange(worker);
   EXPECT_EQ(cluster.apply_heartbeat(late, now), HeartbeatOutcome::stale);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).attempt, 1u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).attempt, 1u);
 }
 
 TEST_F(SafetyTest, ReportUnderAHigherTokenEndsTheLeadership) {
@@ -181,7 +181,7 @@
   auto worker = ready_worker("n-1");
   submit(job_spec("job-1", 1));
   ASSERT_EQ(count(exchange(worker), CommandKind::start), 1u);  // on its way
-  cluster.apply(JobOffRecord{JobId("job-1")}, now);
+  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
   EXPECT_EQ(cluster.team_usage("team").cpus, 4);
   worker.shows("job-1", 0, 1, TaskState::running);
   const auto commands = exchange(worker);
@@ -191,17 +191,17 @@
   exchange(worker);
   EXPECT_EQ(cluster.job(JobId("job-1")), nullptr);
   EXPECT_EQ(cluster.team_usage("team").cpus, 0);
-  ASSERT_EQ(seen<RemoveKeys>().size(), 1u);
-  EXPECT_EQ(seen<RemoveKeys>()[0].keys[0], key::linger(JobId("job-1")));
+  ASSERT_EQ(seen<DeleteKeys>().size(), 1u);
+  EXPECT_EQ(seen<DeleteKeys>()[0].keys[0], key::terminating_job(JobId("job-1")));
 }
 
 TEST_F(SafetyTest, CopyOfAJobCancelledBeforeItWasHeardOfIsRemovedOnce) {
   // Found by random troubles: news of the cancellation came first, and the copy stayed in the store for ever.
   loaded();
-  cluster.apply(JobOffRecord{JobId("job-1")}, now);
-  cluster.apply(JobOffRecord{JobId("job-1")}, now);  // by the watch, too
-  ASSERT_EQ(seen<RemoveKeys>().size(), 1u);
-  EXPECT_EQ(seen<RemoveKeys>()[0].keys, std::vector<std::string>{key::linger(JobId("job-1"))});
+  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
+  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);  // by the watch, too
+  ASSERT_EQ(seen<DeleteKeys>().size(), 1u);
+  EXPECT_EQ(seen<DeleteKeys>()[0].keys, std::vector<std::string>{key::terminating_job(JobId("job-1"))});
 }
 
 TEST_F(SafetyTest, TaskCancelledBeforeTheTakeOverIsStillStoppedAndCounted) {
@@ -230,13 +230,13 @@
   auto worker = ready_worker("n-1");
   store_answers = false;
   submit(job_spec("job-1", 1));
-  cluster.place(now);
-  const auto page = cluster.next_save(now);
+  cluster.assign_tasks(now);
+  const auto page = cluster.next_write(now);
   ASSERT_TRUE(page);
   ASSERT_EQ(page->transaction.preconditions.size(), 1u);
   EXPECT_EQ(page->transaction.preconditions[0].version, Revision(0)) << "no page is written twice";
   EXPECT_EQ(count(answer(worker), CommandKind::start), 0u);
-  cluster.apply(SaveConflict{page->number, {page->transaction.preconditions[0].key}}, now);
+  cluster.apply(WriteConflicted{page->number, {page->transaction.preconditions[0].key}}, now);
   EXPECT_EQ(count(exchange(worker), CommandKind::start), 1u);
 }
 
@@ -245,7 +245,7 @@
   cluster.apply(JobSubmitted{job_record(job_spec("job-1", 1)), Revision(40)}, now);
   inherit(job_spec("job-1", 1), {{0, 1, MachineId("n-1"), false}});
   loaded();
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"));
 }
 
 TEST_F(SafetyTest, LateNewsOfASubmissionStartsNothingOnceTheJobIsOver) {
@@ -260,7 +260,7 @@
   worker.tasks.clear();
   submit(job_spec("job-1", 1));
   EXPECT_EQ(count(exchange(worker), CommandKind::start), 0u);
-  cluster.apply(JobOffRecord{JobId("job-2")}, now);  // its end is heard of first
+  cluster.apply(JobRecordRemoved{JobId("job-2")}, now);  // its end is heard of first
   submit(job_spec("job-2", 1));
   EXPECT_EQ(cluster.job(JobId("job-2")), nullptr);
 }
@@ -284,8 +284,8 @@
   exchange(worker);
   ASSERT_FALSE(saves.empty());
   const auto& txn = saves.back().transaction;
-  EXPECT_EQ(txn.deletions, std::vector<std::string>{key::open(JobId("job-1"))});
-  EXPECT_EQ(txn.puts.at(0).key, key::over(JobId("job-1")));
+  EXPECT_EQ(txn.deletions, std::vector<std::string>{key::active_job(JobId("job-1"))});
+  EXPECT_EQ(txn.puts.at(0).key, key::terminal_job(JobId("job-1")));
   EXPECT_EQ(cluster.job(JobId("job-1")), nullptr);
 }
 
@@ -309,20 +309,20 @@
   submit(job_spec("job-1", 2));
   ASSERT_EQ(count(exchange(deaf), CommandKind::start), 2u);
   auto other = ready_worker("n-2");
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"));
   pass(2);
   heartbeat_only(deaf);  // one lost answer is sent again: the same attempt, to the same machine
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).attempt, 1u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).attempt, 1u);
   ASSERT_EQ(count(answer(deaf), CommandKind::start), 2u);
   pass(2);
   heartbeat_only(other);
   heartbeat_only(deaf);  // newer than the answer that carried the start, and without it
   settle();
-  for (const auto& [index, placement] : cluster.job(JobId("job-1"))->placements) {
-    EXPECT_EQ(placement.machine->id, MachineId("n-2"));
-    EXPECT_EQ(placement.attempt, 2u);
+  for (const auto& [index, assignment] : cluster.job(JobId("job-1"))->assignments) {
+    EXPECT_EQ(assignment.machine->id, MachineId("n-2"));
+    EXPECT_EQ(assignment.attempt, 2u);
   }
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.size(), 2u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u);
   EXPECT_EQ(cluster.progress(JobId("job-1"))->status.running, 0u) << "placed is not running";
 }
 
@@ -340,13 +340,13 @@
     pass(2);
     EXPECT_EQ(count(exchange(deaf), CommandKind::start), 0u);
   }
-  EXPECT_TRUE(seen<ReturnMachines>().empty()) << "its lease may still be running";
+  EXPECT_TRUE(seen<RequestScaleIn>().empty()) << "its lease may still be running";
   for (int i = 0; i < 6; ++i) {
     pass(2);
     exchange(deaf);
   }
-  ASSERT_FALSE(seen<ReturnMachines>().empty());
-  EXPECT_EQ(seen<ReturnMachines>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
+  ASSERT_FALSE(seen<RequestScaleIn>().empty());
+  EXPECT_EQ(seen<RequestScaleIn>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
 }
 
 TEST_F(SafetyTest, MachineThatNeverTakesANewLeadersTokenIsDeletedAndOnlyThenItsTasksMove) {
@@ -359,12 +359,12 @@
     exchange(deaf);
     pass(2);
   }
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-1"));
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-1"));
   const std::vector<MachineId> deleted{MachineId("n-1")};
-  ASSERT_FALSE(seen<ReturnMachines>().empty());
-  EXPECT_EQ(seen<ReturnMachines>()[0].machines, deleted);
+  ASSERT_FALSE(seen<RequestScaleIn>().empty());
+  EXPECT_EQ(seen<RequestScaleIn>()[0].machines, deleted);
   cluster.apply(MachinesDeleted{"return/1", deleted}, now);
-  EXPECT_TRUE(cluster.job(JobId("job-1"))->placements.empty());
+  EXPECT_TRUE(cluster.job(JobId("job-1"))->assignments.empty());
 }
 
 TEST_F(SafetyTest, MachineThatHeedsAgainGetsWorkAgain) {
@@ -375,7 +375,7 @@
   exchange(worker);  // a lost answer
   worker.shows("job-1", 0, 1, TaskState::running);
   exchange(worker);
-  EXPECT_EQ(cluster.machine(MachineId("n-1"))->unheeded, 0u);
+  EXPECT_EQ(cluster.machine(MachineId("n-1"))->undelivered_responses, 0u);
   submit(job_spec("job-2", 1));
   EXPECT_EQ(count(exchange(worker), CommandKind::start), 1u);
 }
@@ -400,7 +400,7 @@
   }
   exchange(other);
   heartbeat_only(other);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).machine->id, MachineId("n-2"))
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).machine->id, MachineId("n-2"))
       << "the worker has been silent for longer than its lease, whatever the copies say";
 }
 
@@ -416,8 +416,8 @@
   worker.incarnation = 2;  // its lease ran out, and with it the task
   exchange(worker);
   EXPECT_EQ(cluster.apply_heartbeat(copy, now), HeartbeatOutcome::stale);
-  EXPECT_FALSE(cluster.job(JobId("job-1"))->placements.at(0).shown);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.at(0).attempt, 2u);
+  EXPECT_FALSE(cluster.job(JobId("job-1"))->assignments.at(0).observed);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.at(0).attempt, 2u);
 }
 
 TEST_F(SafetyTest, LateCopyAtANewLeaderWithNoEarlierWordOfTheMachineProvesNothing) {
@@ -428,22 +428,22 @@
   auto copy = worker.heartbeat();  // from before the tasks were started, under the earlier leader
   worker.sequence_number = 50;
   EXPECT_EQ(cluster.apply_heartbeat(copy, now), HeartbeatOutcome::accepted);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->placements.size(), 2u) << "nothing absent from it is gone";
+  EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u) << "nothing absent from it is gone";
   EXPECT_EQ(count(answer(worker), CommandKind::start), 0u);
   worker.shows("job-1", 0, 1, TaskState::running);
   exchange(worker);  // now under our token
   settle();
-  const auto& placements = cluster.job(JobId("job-1"))->placements;
-  EXPECT_TRUE(placements.at(0).shown);
+  const auto& assignments = cluster.job(JobId("job-1"))->assignments;
+  EXPECT_TRUE(assignments.at(0).observed);
   EXPECT_EQ(cluster.job(JobId("job-1"))->tasks[1].attempt, 2u) << "this one does prove";
   EXPECT_EQ(cluster.apply_heartbeat(copy, now), HeartbeatOutcome::stale);
 }
 
 class QuotaTest : public ClusterTest {
  protected:
-  static Config limited() {
+  static ClusterConfig limited() {
     auto config = cluster_config();
-    config.teams[0].limit.cpus = 8;
+    config.teams[0].quota.cpus = 8;
     return config;
   }
   QuotaTest() : ClusterTest(limited()) {}
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -10,7 +10,7 @@
 
 namespace dockdyke::testing {
 
-using core::Objective;
+using core::ServiceLevelObjective;
 
 namespace {
 
@@ -39,7 +39,7 @@
 
 TEST(Settings, MissingAndInvalidFieldsAreNamed) {
   const Json good = good_settings();
-  EXPECT_EQ(app::parse_settings(good.dump()).cluster.teams[0].limit.cpus, 4.0);
+  EXPECT_EQ(app::parse_settings(good.dump()).cluster.teams[0].quota.cpus, 4.0);
   Json aims = good;
   aims["settings"]["objectives"] = {{{"kind", "wait"}, {"class", "c"}, {"within_s", 2.0}, {"share", 0.9}},
                                     {{"kind", "finished"}, {"class", "c"}, {"within_s", 150.0}},
@@ -48,16 +48,16 @@
   Json announced = good;
   announced["settings"]["state"]["next"] = {{"write_rps", 15.0}, {"value_kb", 2.0}, {"txn_ops", 4}};
   const auto lower = app::parse_settings(announced.dump());
-  EXPECT_EQ(lower.cluster.value_bytes, 2048u) << "written by the smaller of both from the beginning";
-  EXPECT_EQ(lower.cluster.txn_ops, 4u);
+  EXPECT_EQ(lower.cluster.max_value_bytes, 2048u) << "written by the smaller of both from the beginning";
+  EXPECT_EQ(lower.cluster.max_transaction_changes, 4u);
   EXPECT_EQ(lower.state_write_rps, 20.0);
   EXPECT_EQ(lower.state_write_rps_later, 15.0);
   EXPECT_EQ(app::parse_settings(good.dump()).state_write_rps_later, 20.0);
   const auto objectives = app::parse_settings(aims.dump()).cluster.objectives;
   ASSERT_EQ(objectives.size(), 3u);
-  EXPECT_EQ(objectives[0].kind, Objective::Kind::wait);
-  EXPECT_EQ(objectives[1].within_s, 150.0);
-  EXPECT_EQ(objectives[2].times, 1.5);
+  EXPECT_EQ(objectives[0].kind, ServiceLevelObjective::Kind::start);
+  EXPECT_EQ(objectives[1].target_s, 150.0);
+  EXPECT_EQ(objectives[2].deadline_factor, 1.5);
   auto error_of = [&](const char* pointer, Json value) {
     Json changed = good;
     changed[Json::json_pointer(pointer)] = std::move(value);
--- a/tests/simulated_links.cpp
+++ b/tests/simulated_links.cpp
@@ -42,7 +42,7 @@
         out.answer_s += random(0, 0.5);
         break;
       case Link::late_copy:
-        out.copy_s = random(2, 2.5 * options_.config.lease_s);
+        out.copy_s = random(2, 2.5 * options_.config.worker_lease_s);
         break;
       case Link::late_write:
         if (target != "/txn") break;
--- a/tests/simulated_services.cpp
+++ b/tests/simulated_services.cpp
@@ -90,7 +90,7 @@
 }
 
 net::HttpMessage Simulation::machine_list(const std::string& since) {
-  const double lag_s = random(0, 2) * options_.config.list_lag_s;
+  const double lag_s = random(0, 2) * options_.config.machine_list_lag_s;
   const auto then = loop.now() - net::seconds(lag_s);
   Json list = Json::array();
   for (const auto& worker : workers_) {
--- a/tests/simulated_workers.cpp
+++ b/tests/simulated_workers.cpp
@@ -29,7 +29,7 @@
         task.cause = "done";
       } else if (is_gang(task)) {
         task.state = wire::TaskState::waiting;
-        task.ends_at = now + net::seconds(options_.config.gang_wait_s);
+        task.ends_at = now + net::seconds(options_.config.gang_assembly_timeout_s);
         gangs_.try_emplace({task.ref.job.value, task.attempt});
         started(worker, task);
       } else {
@@ -94,8 +94,8 @@
       continue;
     }
     if (!gang.started) continue;
-    if (gang.told_at && !gang.broken_at) save_gang(gang, tasks, job.spec);
-    if (gang.told_at && !gang.broken_at) continue;
+    if (gang.told_at && !gang.aborted_at) save_gang(gang, tasks, job.spec);
+    if (gang.told_at && !gang.aborted_at) continue;
     const bool whole = in_state(wire::TaskState::running) == job.spec.task_count;
     if (whole && loop.now() >= gang.ends_at) {
       for (auto& [worker, task] : tasks) {
@@ -104,11 +104,12 @@
         job.completed.insert(task->ref.index);
       }
     }
-    if (!whole && !gang.broken_at) gang.broken_at = loop.now();
-    if (!gang.broken_at) continue;
+    if (!whole && !gang.aborted_at) gang.aborted_at = loop.now();
+    if (!gang.aborted_at) continue;
     for (auto& [worker, task] : tasks)
       if ((task->state == wire::TaskState::running || task->state == wire::TaskState::saving) &&
-          seconds_between(*gang.broken_at, loop.now()) >= random(0.3, 1) * options_.config.gang_peer_s)
+          seconds_between(*gang.aborted_at, loop.now()) >=
+              random(0.3, 1) * options_.config.gang_peer_timeout_s)
         change(*worker, *task, wire::TaskState::exited, "mates_gone");
   }
 }
@@ -128,7 +129,7 @@
       task->stored = true;
     }
   }
-  if (!gang.saved && since_s > options_.config.gang_peer_s) gang.broken_at = loop.now();
+  if (!gang.saved && since_s > options_.config.gang_peer_timeout_s) gang.aborted_at = loop.now();
 }
 
 void Simulation::change(SimWorker& worker, HeldTask& task, wire::TaskState state, std::string cause) {
@@ -138,7 +139,7 @@
 }
 
 bool Simulation::lease_over(const SimWorker& worker) const {
-  return seconds_between(worker.lease_from, loop.now()) > options_.config.lease_s;
+  return seconds_between(worker.lease_from, loop.now()) > options_.config.worker_lease_s;
 }
 
 const char* Simulation::spelled(wire::TaskState state) {
--- a/tests/simulation.cpp
+++ b/tests/simulation.cpp
@@ -53,7 +53,7 @@
 void Simulation::lower_limits() {
   spdlog::debug("simulation t={:.1f} store lowers its limits", time());
   store.limits = {
-      options_.config.value_bytes, options_.config.txn_ops,
+      options_.config.max_value_bytes, options_.config.max_transaction_changes,
       options_.writes_per_second_later > 0 ? options_.writes_per_second_later : options_.writes_per_second};
 }
 
@@ -133,7 +133,7 @@
   loop.at(worker.taken_at, timer);
 }
 
-void Simulation::expect_all_served(double within_s) {
+void Simulation::expect_all_served(double target_s) {
   const auto calm_since = loop.now();
   calm_ = true;
   const bool all_over = run_until(
@@ -143,17 +143,17 @@
           return job.refused || job.done_told_at || job.cancelled_at;
         });
       },
-      within_s);
+      target_s);
   if (::testing::Test::HasFailure()) return;
-  EXPECT_TRUE(all_over) << "some job is still unfinished " << within_s
+  EXPECT_TRUE(all_over) << "some job is still unfinished " << target_s
                         << " s after the last trouble: " << unfinished();
   for (const auto& [id, job] : jobs_) {
     if (!job.accepted_at) continue;
-    EXPECT_LT(seconds_between(calm_since, job.answered_at.value_or(calm_since)), 75 + within_s);
+    EXPECT_LT(seconds_between(calm_since, job.answered_at.value_or(calm_since)), 75 + target_s);
   }
 }
 
-void Simulation::expect_nothing_left(double within_s) {
+void Simulation::expect_nothing_left(double target_s) {
   const bool gone = run_until(
       [&] {
         return std::none_of(store.keys.begin(), store.keys.end(), [](const auto& each) {
@@ -161,7 +161,7 @@
                  each.first.starts_with("gang/");
         });
       },
-      within_s);
+      target_s);
   if (::testing::Test::HasFailure() || gone) return;
   for (const auto& [key, entry] : store.keys)
     if (key.starts_with("open/") || key.starts_with("linger/") || key.starts_with("gang/"))
@@ -203,8 +203,8 @@
   if (older) {
     // It writes by the limits that are in force when it starts, and knows of no later ones.
     settings.state_write_rps_later = 0;
-    settings.cluster.value_bytes = FakeStateLimits{}.value_bytes;
-    settings.cluster.txn_ops = FakeStateLimits{}.txn_ops;
+    settings.cluster.max_value_bytes = FakeStateLimits{}.max_value_bytes;
+    settings.cluster.max_transaction_changes = FakeStateLimits{}.max_transaction_changes;
   }
   const std::size_t process = ++processes_;
   transports_.push_back(std::make_unique<Transport>(*this, settings.host, process));
--- a/tests/simulation.hpp
+++ b/tests/simulation.hpp
@@ -52,7 +52,7 @@
   void hang(SimWorker& worker, double for_s);
   void die(SimWorker& worker);
   std::size_t tasks_on_machines(const std::string& id);
-  const core::Config& config() const { return options_.config; }
+  const core::ClusterConfig& config() const { return options_.config; }
   const SimJob& job(const std::string& id) const { return jobs_.at(id); }
   const std::map<std::string, SimJob>& all_jobs() const { return jobs_; }
   std::size_t starts() const { return starts_; }
@@ -67,9 +67,9 @@
 
   // With all troubles over: every accepted job ends or was called off, and no question goes unanswered for 75
   // s.
-  void expect_all_served(double within_s);
+  void expect_all_served(double target_s);
   // Nothing of a job that is over stays in the store but its end.
-  void expect_nothing_left(double within_s);
+  void expect_nothing_left(double target_s);
   std::string unfinished() const;
   void expect_answered_lately();
 
--- a/tests/simulation_types.hpp
+++ b/tests/simulation_types.hpp
@@ -36,7 +36,7 @@
 struct Options {
   std::uint64_t seed = 1;
   int controllers = 3;
-  core::Config config = cluster_config();
+  core::ClusterConfig config = cluster_config();
   double writes_per_second = 500;
   double writes_per_second_later = 0;  // announced; 0: nothing is
   double step_s = 0.1;                 // between looks at each worker; the rules are checked twice as often
@@ -69,8 +69,8 @@
 struct SimGang {
   bool started = false;
   net::TimePoint ends_at;
-  std::optional<net::TimePoint> broken_at;  // some task was gone or hung after the start
-  std::optional<net::TimePoint> told_at;    // the first was told to save
+  std::optional<net::TimePoint> aborted_at;  // some task was gone or hung after the start
+  std::optional<net::TimePoint> told_at;     // the first was told to save
   bool saved = false;
 };
 
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -14,10 +14,10 @@
 constexpr std::size_t kLeastBytes = static_cast<std::size_t>(limits::kLeastValueKb * 1024);
 constexpr std::size_t kLeastOps = static_cast<std::size_t>(limits::kLeastTxnOps);
 
-Config lowest_limits() {
+ClusterConfig lowest_limits() {
   auto config = cluster_config();
-  config.value_bytes = kLeastBytes;
-  config.txn_ops = kLeastOps;
+  config.max_value_bytes = kLeastBytes;
+  config.max_transaction_changes = kLeastOps;
   config.max_machines = 400;
   return config;
 }
@@ -61,7 +61,7 @@
     for (const auto& put : save.transaction.puts) kinds.insert(put.key.substr(0, put.key.find('/')));
   }
   EXPECT_EQ(kinds, (std::set<std::string>{"gang", "over", "page"}));
-  const auto returns = seen<ReturnMachines>();
+  const auto returns = seen<RequestScaleIn>();
   ASSERT_FALSE(returns.empty());
   std::size_t given_back = 0;
   for (const auto& each : returns) {
@@ -69,7 +69,8 @@
     EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
   }
   EXPECT_GE(given_back, 100u);
-  for (const auto& each : seen<Rent>()) EXPECT_LE(wire::to_json(each.rental).dump().size(), kLeastBytes);
+  for (const auto& each : seen<RequestScaleOut>())
+    EXPECT_LE(wire::to_json(each.rental).dump().size(), kLeastBytes);
 }
 
 TEST_F(LowestLimitsTest, AReturnOfManyMachinesIsRecordedInSeveralValues) {
@@ -84,7 +85,7 @@
     for (auto& worker : workers) exchange(worker);
     pass(1);
   }
-  for (const auto& each : seen<ReturnMachines>()) {
+  for (const auto& each : seen<RequestScaleIn>()) {
     given_back += each.machines.size();
     EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
   }
@@ -118,7 +119,7 @@
   std::size_t last = 0;
   std::set<TaskIndex> stored;
   for (int round = 0; round < 40; ++round, now += 10) {
-    const auto save = cluster.next_save(now);
+    const auto save = cluster.next_write(now);
     if (!save) break;
     const std::size_t size = save->transaction.puts.at(0).value.dump().size();
     if (size > 350) {
@@ -126,12 +127,12 @@
         EXPECT_LT(size, last);
       }
       last = size;
-      cluster.apply(SaveRejected{save->number}, now);
+      cluster.apply(WriteRejected{save->number}, now);
       continue;
     }
-    const PageRecord page = parse_page(save->transaction.puts.at(0).value);
+    const SegmentRecord page = parse_segment(save->transaction.puts.at(0).value);
     for (const auto& task : page.at(JobId("job-1"))) stored.insert(task.index);
-    cluster.apply(SaveDone{save->number}, now);
+    cluster.apply(WriteApplied{save->number}, now);
   }
   EXPECT_GT(last, 0u);
   EXPECT_EQ(stored.size(), 60u);
@@ -141,15 +142,15 @@
   cluster = Cluster(cluster_config(), FencingToken(kToken), 0, 0);
   for (int i = 0; i < 3; ++i) inherit(job_spec("job-" + std::to_string(i), 1), {{0, 1, {}, true}});
   loaded();
-  const auto together = cluster.next_save(now);
+  const auto together = cluster.next_write(now);
   ASSERT_TRUE(together);
   ASSERT_EQ(together->finals.size(), 3u);
-  cluster.apply(SaveRejected{together->number}, now);
+  cluster.apply(WriteRejected{together->number}, now);
   std::set<JobId> recorded;
-  while (const auto save = cluster.next_save(now)) {
+  while (const auto save = cluster.next_write(now)) {
     EXPECT_LT(save->finals.size(), 3u);
     recorded.insert(save->finals.begin(), save->finals.end());
-    cluster.apply(SaveDone{save->number}, now);
+    cluster.apply(WriteApplied{save->number}, now);
   }
   EXPECT_EQ(recorded.size(), 3u);
 }
@@ -163,13 +164,13 @@
   gang.kind = wire::JobKind::gang;
   submit(gang);
   settle();
-  const auto first = cluster.next_save(now);
+  const auto first = cluster.next_write(now);
   ASSERT_TRUE(first);
-  cluster.apply(SaveRejected{first->number}, now);
+  cluster.apply(WriteRejected{first->number}, now);
   settle();
   for (auto& worker : workers) heartbeat_only(worker);
   settle();
-  const auto second = cluster.next_save(now);
+  const auto second = cluster.next_write(now);
   ASSERT_TRUE(second);
   EXPECT_TRUE(second->transaction.puts.at(0).key.starts_with("gang/job-1/2/"));
   EXPECT_LT(second->transaction.puts.at(0).value.dump().size(),
@@ -271,8 +272,8 @@
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     auto config = cluster_config();
-    config.value_bytes = kLeastBytes;
-    config.txn_ops = kLeastOps;
+    config.max_value_bytes = kLeastBytes;
+    config.max_transaction_changes = kLeastOps;
     Simulation simulation(
         {.seed = seed, .config = config, .writes_per_second = 40, .writes_per_second_later = 25});
     for (int i = 0; i < 40; ++i) {
--- a/tests/stored_formats_test.cpp
+++ b/tests/stored_formats_test.cpp
@@ -69,9 +69,9 @@
   EXPECT_EQ(hex(wire::encode(core::to_json(record))), kJobBytes);
 }
 
-TEST(StoredFormats, FinalRecord) {
+TEST(StoredFormats, TerminalRecord) {
   const std::string text = R"({"done":16,"stage":"done"})";
-  const auto record = core::parse_final_record(Json::parse(text));
+  const auto record = core::parse_terminal_record(Json::parse(text));
   EXPECT_EQ(record.state, wire::JobState::done);
   EXPECT_EQ(record.done, 16u);
   EXPECT_EQ(core::to_json(record).dump(), text);
@@ -79,7 +79,7 @@
 
 TEST(StoredFormats, PageAndItsKey) {
   const JobId id("job-000412");
-  const core::PageRecord page = core::parse_page(Json::parse(kPage));
+  const core::SegmentRecord page = core::parse_segment(Json::parse(kPage));
   const std::vector<core::TaskRecord> expected = {{0, 1, {}, true},
                                                   {1, 1, {}, true},
                                                   {2, 3, {}, false},
@@ -89,16 +89,16 @@
   ASSERT_TRUE(page.contains(id));
   EXPECT_EQ(page.at(id), expected);
   EXPECT_EQ(core::to_json(page).dump(), kPage);
-  EXPECT_EQ(core::key::page(FencingToken(41), 7), "page/00000000000000000041-00000000000000000007");
+  EXPECT_EQ(core::key::segment(FencingToken(41), 7), "page/00000000000000000041-00000000000000000007");
 }
 
 TEST(StoredFormats, KeysOfJobs) {
   const JobId id("job-000412");
-  EXPECT_EQ(core::key::open(id), "open/job-000412");
-  EXPECT_EQ(core::key::over(id), "over/job-000412");
-  EXPECT_EQ(core::key::linger(id), "linger/job-000412");
-  EXPECT_EQ(core::key::kRentPrefix, "rent/");
-  EXPECT_EQ(core::key::kReturnPrefix, "return/");
+  EXPECT_EQ(core::key::active_job(id), "open/job-000412");
+  EXPECT_EQ(core::key::terminal_job(id), "over/job-000412");
+  EXPECT_EQ(core::key::terminating_job(id), "linger/job-000412");
+  EXPECT_EQ(core::key::kScaleOutPrefix, "rent/");
+  EXPECT_EQ(core::key::kScaleInPrefix, "return/");
   EXPECT_EQ(core::key::kMachineTypes, "types");
 }
 
@@ -164,8 +164,9 @@
 // job it can read. Records of gangs must be none of these.
 TEST(GangRecords, HaveAPrefixThatProductionNeitherReadsNorRemoves) {
   const std::string key = core::key::gang_part(JobId("job-1"), 3, 0);
-  for (const auto& prefix : {core::key::kOpenPrefix, core::key::kOverPrefix, core::key::kLingerPrefix,
-                             core::key::kPagePrefix, core::key::kRentPrefix, core::key::kReturnPrefix})
+  for (const auto& prefix :
+       {core::key::kActivePrefix, core::key::kTerminalPrefix, core::key::kTerminatingPrefix,
+        core::key::kSegmentPrefix, core::key::kScaleOutPrefix, core::key::kScaleInPrefix})
     EXPECT_FALSE(key.starts_with(prefix)) << prefix;
   EXPECT_EQ(key, "gang/job-1/3/0");
 }
--- a/tests/upgrade_story_test.cpp
+++ b/tests/upgrade_story_test.cpp
@@ -9,10 +9,10 @@
 
 constexpr int kControllers = 3;
 
-core::Config lower_limits_config() {
+core::ClusterConfig lower_limits_config() {
   auto config = cluster_config();
-  config.value_bytes = 1024;
-  config.txn_ops = 3;
+  config.max_value_bytes = 1024;
+  config.max_transaction_changes = 3;
   config.max_machines = 400;
   return config;
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -211,16 +211,16 @@
 }
 
 TEST(Records, PageSurvivesTheStore) {
-  PageRecord page;
+  SegmentRecord page;
   page[JobId("job-1")].push_back({41, 7, {}, false});
   for (TaskIndex i = 0; i < 40; ++i) page[JobId("job-1")].push_back({i, 1, MachineId("n-000001"), false});
   page[JobId("job-1")].push_back({40, 3, MachineId("n-000001"), false});
   page[JobId("job-2")] = {{0, 1, {}, true}, {1, 1, {}, true}, {99'999, 1, {}, true}};
   const auto json = to_json(page);
   EXPECT_LE(json.dump().size(), 100u) << "neighbours share an entry";
-  EXPECT_TRUE(parse_page(json) == page);
+  EXPECT_TRUE(parse_segment(json) == page);
   for (const char* bad : {"3-", "5-3", "x", "3,,4", "3/", "0-4294967295"})
-    EXPECT_THROW(parse_page(Json{{"job-1", {{"d", bad}}}}), wire::Malformed) << bad;
+    EXPECT_THROW(parse_segment(Json{{"job-1", {{"d", bad}}}}), wire::Malformed) << bad;
 }
 
 TEST(Records, JobRecordSurvivesTheStore) {
@@ -232,13 +232,14 @@
 TEST(Records, CancellationLeavesACopyUntilTheTasksAreProvedGone) {
   const auto txn = cancellation(job_record(job_spec("job-1", 1)), Revision(5), 0, 1234, 4096);
   ASSERT_EQ(txn.puts.size(), 2u);
-  EXPECT_EQ(txn.puts[1].key, key::linger(JobId("job-1")));
+  EXPECT_EQ(txn.puts[1].key, key::terminating_job(JobId("job-1")));
   EXPECT_EQ(txn.preconditions[0].version, Revision(5));
-  EXPECT_EQ(txn.deletions, std::vector<std::string>{key::open(JobId("job-1"))});
-  const auto lingering = std::find_if(txn.puts.begin(), txn.puts.end(),
-                                      [](const auto& put) { return put.key == "linger/job-1"; });
-  ASSERT_NE(lingering, txn.puts.end());
-  EXPECT_EQ(parse_job_record(lingering->value).cancelled_ms, 1234) << "a later leader knows how long it has";
+  EXPECT_EQ(txn.deletions, std::vector<std::string>{key::active_job(JobId("job-1"))});
+  const auto terminating = std::find_if(txn.puts.begin(), txn.puts.end(),
+                                        [](const auto& put) { return put.key == "linger/job-1"; });
+  ASSERT_NE(terminating, txn.puts.end());
+  EXPECT_EQ(parse_job_record(terminating->value).cancelled_ms, 1234)
+      << "a later leader knows how long it has";
 }
 
 }  // namespace dockdyke::testing
