--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -220,7 +220,8 @@
           use.cpus);
     const auto count = self->cluster_.count();
     const auto tasks = self->cluster_.assignment_counts();
-    spdlog::info("event=tasks unsent={} fetching={} running={}", tasks.unsent, tasks.fetching, tasks.running);
+    spdlog::info("event=tasks unsent={} fetching={} running={}", tasks.never_dispatched, tasks.fetching,
+                 tasks.running);
     spdlog::info(
         "event=tick machines={} booting={} overwhelmed={} underwhelmed={} free={} waiting={} jobs={} "
         "stale={:.1f}",
--- a/src/app/leader_term_writer.cpp
+++ b/src/app/leader_term_writer.cpp
@@ -34,7 +34,7 @@
         co_await self->services_.state.commit(save.transaction, urgency, deadline);
     if (!self->alive_) break;
     if (committed) {
-      for (const auto& id : save.finals) self->report_completion(id);
+      for (const auto& id : save.completed_jobs) self->report_completion(id);
       self->push(core::WriteApplied{save.number});
       break;
     }
@@ -117,23 +117,23 @@
 }
 
 net::Task<void> LeaderTerm::execute(Self self, core::RequestScaleOut effect) {
-  const std::string key = core::key::kScaleOutPrefix + effect.rental.id.value;
+  const std::string key = core::key::kScaleOutPrefix + effect.request.id.value;
   if (!effect.recorded) {
     // Ahead of what else waits: a day's first rentals stood in line behind its first submissions for 5 s.
-    const bool written = co_await self->record(key, wire::to_json(effect.rental), RequestPriority::high);
+    const bool written = co_await self->record(key, wire::to_json(effect.request), RequestPriority::high);
     if (!written) co_return;
   }
   bool answered = false;
   while (self->alive_ && !answered) {
-    cloud::Result<std::vector<MachineId>> rented = co_await self->services_.cloud.rent(effect.rental);
+    cloud::Result<std::vector<MachineId>> rented = co_await self->services_.cloud.rent(effect.request);
     spdlog::info("event=rent id={} type={} zone={} spot={} count={} outcome={} got={}",
-                 effect.rental.id.value, effect.rental.type, effect.rental.zone, effect.rental.spot,
-                 effect.rental.count, static_cast<int>(rented.outcome), rented.value.size());
+                 effect.request.id.value, effect.request.type, effect.request.zone, effect.request.spot,
+                 effect.request.count, static_cast<int>(rented.outcome), rented.value.size());
     answered = rented.outcome != cloud::Outcome::unknown;
     if (rented) {
-      self->push(core::ScaleOutGranted{effect.rental.id, std::move(rented.value)});
+      self->push(core::ScaleOutGranted{effect.request.id, std::move(rented.value)});
     } else if (answered) {
-      self->push(core::ScaleOutRefused{effect.rental.id});
+      self->push(core::ScaleOutRefused{effect.request.id});
     } else {
       // Under the same name, which rents nothing twice, until the cloud says what came of it.
       co_await self->services_.loop.sleep(net::seconds(constants::kCloudRetryInterval));
@@ -146,21 +146,21 @@
 net::Task<void> LeaderTerm::execute(Self self, core::RequestScaleIn effect) {
   if (!effect.recorded) {
     const bool written =
-        co_await self->record(effect.record, wire::machine_names(effect.machines), RequestPriority::normal);
+        co_await self->record(effect.key, wire::machine_names(effect.machines), RequestPriority::normal);
     if (!written) co_return;
   }
   bool answered = false;
   while (self->alive_ && !answered) {
     const cloud::Outcome outcome = co_await self->services_.cloud.remove(effect.machines);
-    spdlog::info("event=give_back record={} machines={} first={} outcome={}", effect.record,
+    spdlog::info("event=give_back record={} machines={} first={} outcome={}", effect.key,
                  effect.machines.size(), effect.machines.empty() ? "" : effect.machines.front().value,
                  static_cast<int>(outcome));
     answered = outcome == cloud::Outcome::ok;
     if (!answered) co_await self->services_.loop.sleep(net::seconds(constants::kCloudRetryInterval));
   }
   if (!answered) co_return;
-  self->push(core::MachinesDeleted{effect.record, effect.machines});
-  self->delete_later({effect.record});
+  self->push(core::MachinesDeleted{effect.key, effect.machines});
+  self->delete_later({effect.key});
 }
 
 net::Task<void> LeaderTerm::execute(Self self, core::DeleteKeys effect) {
--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -31,13 +31,13 @@
 
 void Cluster::on(const ScaleOutLoaded& event, Time now) {
   // Recorded by an earlier leader and perhaps never answered: asked again under the same name.
-  rents_.try_emplace(event.rental.id, PendingScaleOut{event.rental, now});
-  effects_.emplace_back(RequestScaleOut{event.rental, true});
+  rents_.try_emplace(event.request.id, PendingScaleOut{event.request, now});
+  effects_.push(RequestScaleOut{event.request, true});
 }
 
 void Cluster::on(const ScaleInLoaded& event, Time now) {
   for (const auto& id : event.machines) machine_named(id, now).scale_in_requested = true;
-  effects_.emplace_back(RequestScaleIn{event.record, event.machines, true});
+  effects_.push(RequestScaleIn{event.key, event.machines, true});
 }
 
 void Cluster::on(const ScaleOutGranted& event, Time now) {
@@ -48,11 +48,11 @@
   for (const auto& id : event.machines) {
     if (tombstones_.contains(id)) continue;
     Machine& machine = machine_named(id, now);
-    describe(machine, pending.rental.type, pending.rental.zone, pending.rental.spot);
+    describe(machine, pending.request.type, pending.request.zone, pending.request.spot);
     machine.rented_at = std::min(machine.rented_at, pending.since);
   }
-  const InstanceOffering offer{pending.rental.type, pending.rental.zone, pending.rental.spot};
-  if (event.machines.size() < pending.rental.count) {
+  const InstanceOffering offer = offering_of(pending.request);
+  if (event.machines.size() < pending.request.count) {
     // Partly filled: this offer is empty for now.
     refusals_[offer] = {now + constants::kOfferingBackoffInitial, constants::kOfferingBackoffInitial};
   } else {
@@ -63,11 +63,11 @@
 void Cluster::on(const ScaleOutRefused& event, Time now) {
   auto found = rents_.find(event.id);
   if (found == rents_.end()) return;
-  const auto& rental = found->second.rental;
-  OfferingBackoff& refusal = refusals_[{rental.type, rental.zone, rental.spot}];
-  refusal.pause = refusal.pause == 0 ? constants::kOfferingBackoffInitial
-                                     : std::min(constants::kOfferingBackoffMax, 2 * refusal.pause);
-  refusal.until = now + refusal.pause;
+  const auto& request = found->second.request;
+  OfferingBackoff& refusal = refusals_[offering_of(request)];
+  refusal.delay_s = refusal.delay_s == 0 ? constants::kOfferingBackoffInitial
+                                         : std::min(constants::kOfferingBackoffMax, 2 * refusal.delay_s);
+  refusal.until = now + refusal.delay_s;
   rents_.erase(found);
 }
 
@@ -128,7 +128,7 @@
       machines_.at(ids[next]).scale_in_requested = true;
       effect.machines.push_back(ids[next++]);
     }
-    effects_.emplace_back(std::move(effect));
+    effects_.push(std::move(effect));
   }
 }
 
@@ -173,7 +173,7 @@
   rental.spot = offer.spot;
   rental.count = std::min<std::uint64_t>(count, constants::kMaxMachinesPerScaleOut);
   rents_[rental.id] = {rental, now};
-  effects_.emplace_back(RequestScaleOut{rental, false});
+  effects_.push(RequestScaleOut{rental, false});
 }
 
 std::map<InstanceOffering, OfferingUsage> Cluster::usage_by_offering() const {
@@ -194,7 +194,7 @@
   AssignmentCounts out;
   for (const auto& [id, job] : jobs_)
     for (const auto& [index, assignment] : job.assignments) {
-      out.unsent += assignment.never_dispatched();
+      out.never_dispatched += assignment.never_dispatched();
       out.fetching += assignment.observed && assignment.state == wire::TaskState::fetching;
       out.running += assignment.observed && assignment.state == wire::TaskState::running;
     }
@@ -205,7 +205,7 @@
   std::size_t size = 0;
   for (const auto& [id, machine] : machines_)
     size += !machine.scale_in_requested && machine.state != MachineState::gone;
-  for (const auto& [id, pending] : rents_) size += pending.rental.count;
+  for (const auto& [id, pending] : rents_) size += pending.request.count;
   return size;
 }
 
@@ -226,7 +226,7 @@
     }
   }
   for (const auto& [id, pending] : rents_)
-    if (pending.rental.spot) coming[pending.rental.type] += static_cast<double>(pending.rental.count);
+    if (pending.request.spot) coming[pending.request.type] += static_cast<double>(pending.request.count);
   // The memory outlasts the load: alone it went on renting for two minutes after the last job of a day.
   const bool any_work = std::any_of(jobs_.begin(), jobs_.end(), [](const auto& each) {
     return !each.second.cancelled && !each.second.complete();
@@ -276,7 +276,7 @@
       ++count_.overwhelmed;
     }
   }
-  for (const auto& [id, pending] : rents_) count_.booting += pending.rental.count;
+  for (const auto& [id, pending] : rents_) count_.booting += pending.request.count;
   count_.machines = fleet;
   count_.free = idle.size() + count_.booting;
 
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -26,7 +26,7 @@
 }
 
 std::vector<Effect> Cluster::take_effects() {
-  return std::exchange(effects_, {});
+  return effects_.take();
 }
 
 const Job* Cluster::job(const JobId& id) const {
@@ -108,7 +108,7 @@
   TaskLogSegment& page = pages_[number];
   page.key = event.key;
   page.confirmed = true;
-  for (const auto& [id, tasks] : event.page) {
+  for (const auto& [id, tasks] : event.segment) {
     auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.is_gang()) continue;
     Job& job = found->second;
@@ -210,7 +210,7 @@
       never_sent.push_back(index);
     } else {
       // Also for a start still in flight: the order to stop is repeated until a report proves it gone.
-      stop(assignment, 0);
+      assignment.stop(0);
     }
   }
   for (auto index : never_sent) release(job, index, now);
@@ -300,11 +300,6 @@
   machine.runs_unknown_tasks = false;
 }
 
-void Cluster::stop(TaskAssignment& assignment, double grace_s) {
-  assignment.grace_s = assignment.stopping ? std::min(assignment.grace_s, grace_s) : grace_s;
-  assignment.stopping = true;
-}
-
 void Cluster::withdraw_unsent(Machine& machine, Time now) {
   const auto assignments = machine.assignments;
   for (const auto& task : assignments) {
--- a/src/core/cluster.hpp
+++ b/src/core/cluster.hpp
@@ -11,164 +11,15 @@
 #include <variant>
 #include <vector>
 
+#include "core/effects.hpp"
+#include "core/events.hpp"
 #include "core/gang_capacity_reserve.hpp"
 #include "core/model.hpp"
 #include "core/run_time_estimator.hpp"
+#include "core/views.hpp"
 
 namespace dockdyke::core {
 
-// ---- Commands ---------------------------------------------------------------------------------------------
-
-struct JobLoaded {
-  JobRecord record;
-  Revision version;
-  bool terminating = false;
-};
-// In the order of the keys, after all jobs.
-struct SegmentLoaded {
-  std::string key;
-  SegmentRecord page;
-};
-// After all jobs.
-struct GangPartLoaded {
-  std::string key;
-  GangPart part;
-};
-struct ScaleOutLoaded {
-  wire::ScaleOutRequest rental;
-};
-struct ScaleInLoaded {
-  std::string record;
-  std::vector<MachineId> machines;
-};
-struct LoadCompleted {};
-struct JobSubmitted {
-  JobRecord record;
-  Revision version;
-};
-// The job's open record is gone: it was cancelled, or our own final transaction was applied.
-struct JobRecordRemoved {
-  JobId id;
-};
-// The transaction was applied.
-struct WriteApplied {
-  std::uint64_t number;
-};
-// The transaction was not applied, since these guards did not hold.
-struct WriteConflicted {
-  std::uint64_t number;
-  std::vector<std::string> failed;
-};
-// The store called the transaction wrong, most likely for its size; nothing was changed.
-struct WriteRejected {
-  std::uint64_t number;
-};
-// The store takes fewer writes a second than it did.
-struct WriteRateLowered {
-  double per_second = 0;
-};
-struct MachinesListed {
-  std::vector<wire::ListedMachine> machines;
-};
-struct ScaleOutGranted {
-  ScaleOutId id;
-  std::vector<MachineId> machines;
-};
-struct ScaleOutRefused {
-  ScaleOutId id;
-};
-struct MachinesDeleted {
-  std::string record;
-  std::vector<MachineId> machines;
-};
-struct MachineTypesChanged {
-  std::vector<wire::MachineType> types;
-};
-struct Tick {};
-
-using Event = std::variant<JobLoaded, SegmentLoaded, GangPartLoaded, ScaleOutLoaded, ScaleInLoaded,
-                           LoadCompleted, JobSubmitted, JobRecordRemoved, WriteApplied, WriteConflicted,
-                           WriteRejected, WriteRateLowered, MachinesListed, ScaleOutGranted, ScaleOutRefused,
-                           MachinesDeleted, MachineTypesChanged, Tick>;
-
-// ---- Effects ----------------------------------------------------------------------------------------------
-
-// A transaction to be repeated until it is applied or fails; without the leader's guard.
-struct StateWrite {
-  std::uint64_t number = 0;
-  std::vector<JobId> finals;  // jobs whose end it records; their users are waiting
-  bool urgent = false;        // goes ahead of other writes
-  wire::Transaction transaction;
-};
-// To be recorded, then asked of the cloud until it answers.
-struct RequestScaleOut {
-  wire::ScaleOutRequest rental;
-  bool recorded = false;
-};
-struct RequestScaleIn {
-  std::string record;
-  std::vector<MachineId> machines;
-  bool recorded = false;
-};
-// Keys nobody needs any more.
-struct DeleteKeys {
-  std::vector<std::string> keys;
-};
-
-// Orders that stop tasks, sent straight to their worker: a gang saves only if all its tasks are told nearly
-// at the same time, which reports don't allow for. They name an attempt that is being stopped anyway, so a
-// late or repeated copy starts nothing and ends nothing that should go on.
-struct SendStopCommands {
-  MachineId machine;
-  std::string address;
-  std::uint64_t incarnation = 0;
-  std::vector<wire::Command> commands;
-};
-
-using Effect = std::variant<RequestScaleOut, RequestScaleIn, DeleteKeys, SendStopCommands>;
-
-// What became of a report.
-enum class HeartbeatOutcome { accepted, stale, superseded };
-
-// Why the answer to a machine's report should wait a little.
-enum class ResponseHold {
-  none,
-  awaiting_write,  // a record on its way will allow orders
-  awaiting_work,   // it has room and nothing to tell for a while; work that comes meanwhile starts at once
-};
-
-// What users are told of a job that is not over.
-struct JobProgress {
-  Revision version;
-  wire::JobStatus status;
-};
-
-// Counts of the last tick, for the log.
-struct FleetSummary {
-  std::size_t machines = 0;
-  std::size_t booting = 0;
-  std::size_t overwhelmed = 0;
-  std::size_t underwhelmed = 0;
-  std::size_t free = 0;
-  std::size_t waiting_tasks = 0;
-};
-
-// Tasks that have a place, by how far they have come.
-struct AssignmentCounts {
-  std::size_t unsent = 0;
-  std::size_t fetching = 0;
-  std::size_t running = 0;
-};
-
-// How the machines of one type, zone and kind are used.
-struct OfferingUsage {
-  std::size_t machines = 0;
-  std::size_t booting = 0;
-  std::size_t empty = 0;
-  double cpus = 0;
-  double cpus_used = 0;
-};
-
 class Cluster {
  public:
   Cluster(ClusterConfig config, FencingToken token, Time now, std::int64_t time_of_day_ms);
@@ -250,13 +101,11 @@
   static bool overlong(const Job& job, double ran_s, double times);
   // Takes work off machines on which it goes several times slower than elsewhere.
   void leave_slow_machine(Machine& machine, Time now);
-  void stop(TaskAssignment& assignment, double grace_s);
   void stop_all(Job& job, Time now);
   void withdraw_unsent(Machine& machine, Time now);
   bool silent(const Machine& machine, Time now) const;
   void drop_if_gone(Job& job, Time now);
   void machine_gone(const MachineId& id, Time now);
-  void note_image(Machine& machine, const Job& job);
   void expire_leases(Time now);
   // Gives back silent machines that hold tasks of cancelled jobs, in time for these.
   void delete_cancelled_work(Time now);
@@ -319,8 +168,6 @@
   // Also on machines that do not wait for an answer at the moment.
   void place_gangs_anywhere(Time now);
   std::vector<Machine*> accepting_machines(Time now);
-  // The machine's room is kept for a gang that is not this job.
-  static bool kept_from(const Job& job, const Machine& machine, Time now);
   // Marks the machines whose room is held for gangs to come.
   void hold_reserve(Time now);
   bool wants_quick_starts(const wire::JobSpec& spec) const;
@@ -361,7 +208,6 @@
   std::optional<double> cost_of(const Job& job, const Machine& machine, double largest_cpus) const;
   // Seconds that the machine takes for the job's image.
   double fetch_s(const Job& job, const Machine& machine) const;
-  static bool fetches_image(const Machine& machine, const Job& job);
   // Gives places to as many of the job's tasks as possible on machines that wait for an answer.
   std::size_t place_job(const Ranked& ranked, const std::vector<Machine*>& open, bool any_image,
                         std::size_t most, Time now);
@@ -468,7 +314,7 @@
   RunTimeEstimator estimates_;
   GangCapacityReserve reserve_;
   std::vector<GangCapacityReserve::Wanted> reserve_wanted_;  // of the last tick
-  std::vector<Effect> effects_;
+  EffectQueue effects_;
 
   // Pages and transactions on their way.
   std::map<SegmentNumber, TaskLogSegment> pages_;
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -106,8 +106,8 @@
     add(machine.type_number, machine.zone, machine.spot, free, 1);
   }
   for (const auto& [id, pending] : rents_)
-    if (const auto type = type_number(pending.rental.type); type != kNoType)
-      add(type, pending.rental.zone, pending.rental.spot, types_[type].size, pending.rental.count);
+    if (const auto type = type_number(pending.request.type); type != kNoType)
+      add(type, pending.request.zone, pending.request.spot, types_[type].size, pending.request.count);
   std::vector<Rooms> rooms;
   for (const auto& [key, count] : counts) {
     const auto& [type, zone, spot, cpus, gpus, memory] = key;
@@ -247,7 +247,7 @@
   demand.rooms = std::move(rooms);
   demand.most = most;
   for (const auto& [id, machine] : machines_) ++demand.in_zone[machine.zone];
-  for (const auto& [id, pending] : rents_) demand.in_zone[pending.rental.zone] += pending.rental.count;
+  for (const auto& [id, pending] : rents_) demand.in_zone[pending.request.zone] += pending.request.count;
   return demand;
 }
 
--- a/src/core/gangs.cpp
+++ b/src/core/gangs.cpp
@@ -159,14 +159,14 @@
   job.gang.aborted = true;
   std::map<Machine*, std::vector<wire::Command>, ById> commands;
   for (auto& [index, assignment] : job.assignments) {
-    stop(assignment, job.spec.checkpoint_duration_s + constants::kGangCheckpointMargin);
+    assignment.stop(job.spec.checkpoint_duration_s + constants::kGangCheckpointMargin);
     commands[assignment.machine].push_back(
         {wire::CommandKind::stop, {job.spec.id, index}, assignment.attempt, assignment.grace_s});
   }
   // Where all are on one machine its next answer tells them at the same time.
   if (commands.size() < 2) return;
   for (auto& [machine, each] : commands)
-    effects_.emplace_back(
+    effects_.push(
         SendStopCommands{machine->id, machine->worker_address, machine->incarnation, std::move(each)});
 }
 
@@ -195,7 +195,7 @@
       if (assignment.never_dispatched()) {
         never_sent.push_back(index);
       } else if (!assignment.stopping) {
-        stop(assignment, 0);
+        assignment.stop(0);
       }
     }
     for (const auto index : never_sent) release(job, index, now);
@@ -280,7 +280,7 @@
   std::map<std::string, std::vector<Candidate>> groups;  // by zone where all tasks must share one
   scanned_ += machines.size();
   for (Machine* machine : machines) {
-    if (kept_from(job, *machine, now)) continue;
+    if (machine->reserved_against(job, now)) continue;
     const auto cost = cost_of(job, *machine, largest);
     if (!cost) continue;
     Candidate candidate{machine, 0, *cost, tasks_fitting(job.spec.task_resources, room(*machine))};
@@ -351,12 +351,6 @@
   }
 }
 
-bool Cluster::kept_from(const Job& job, const Machine& machine, Time now) {
-  if (machine.in_gang_reserve && !job.is_gang() && now - job.queued_since < constants::kGangReserveWait)
-    return true;
-  return machine.reserved_for_gang != 0 && machine.reserved_for_gang != job.serial;
-}
-
 bool Cluster::wants_quick_starts(const wire::JobSpec& spec) const {
   const auto wanted_s = quickest_start_s(spec.job_class);
   return wanted_s && *wanted_s < constants::kQuickStartTarget;
@@ -380,7 +374,7 @@
   const auto images_on = [&](const Machine& machine) {
     return static_cast<std::size_t>(
         std::count_if(machine.images.begin(), machine.images.end(),
-                      [&](const auto& image) { return recent_images.contains(image.first); }));
+                      [&](const auto& image) { return recent_images.contains(image.name); }));
   };
   for (const auto& wanted : reserve_wanted_) {
     if (wanted.largest.spot_allowed) continue;  // other work may use the same machines at no loss
--- a/src/core/pages.cpp
+++ b/src/core/pages.cpp
@@ -72,7 +72,7 @@
   if (in_flight.finals.empty()) return std::nullopt;
   save.number = next_save_number_++;
   save.urgent = true;
-  save.finals = in_flight.finals;
+  save.completed_jobs = in_flight.finals;
   saves_.emplace(save.number, std::move(in_flight));
   return save;
 }
@@ -204,7 +204,7 @@
 }
 
 void Cluster::discard(std::vector<std::string> keys) {
-  effects_.emplace_back(DeleteKeys{std::move(keys)});
+  effects_.push(DeleteKeys{std::move(keys)});
 }
 
 std::vector<JobId> Cluster::save_ended(std::uint64_t number, const std::vector<std::string>& failed) {
@@ -269,9 +269,9 @@
 }
 
 void Cluster::on(const WriteConflicted& event, Time now) {
-  for (const auto& id : save_ended(event.number, event.failed)) {
-    const bool off_record =
-        std::find(event.failed.begin(), event.failed.end(), key::active_job(id)) != event.failed.end();
+  for (const auto& id : save_ended(event.number, event.failed_keys)) {
+    const bool off_record = std::find(event.failed_keys.begin(), event.failed_keys.end(),
+                                      key::active_job(id)) != event.failed_keys.end();
     if (off_record) {
       // By an earlier try or as a cancellation, whose copy nobody else would remove.
       discard({key::terminating_job(id)});
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -11,12 +11,6 @@
 
 namespace {
 
-const Team* team_named(const ClusterConfig& config, const std::string& name) {
-  for (const auto& team : config.teams)
-    if (team.name == name) return &team;
-  return nullptr;
-}
-
 // The smallest amounts that any of these sizes asks for.
 class Smallest {
  public:
@@ -30,10 +24,6 @@
   wire::Resources least_{std::numeric_limits<double>::max(), 0, std::numeric_limits<double>::max()};
 };
 
-bool has_guarantee(const Team& team) {
-  return team.guaranteed_share.cpus > 0 || team.guaranteed_share.gpus > 0;
-}
-
 }  // namespace
 
 std::size_t Cluster::type_number(const std::string& name) const {
@@ -125,14 +115,15 @@
 
   // A job is within its team's guarantee if it fits into it along with the team's earlier unfinished jobs.
   guaranteed_.clear();
-  const bool any_guarantee = std::any_of(config_.teams.begin(), config_.teams.end(), has_guarantee);
+  const bool any_guarantee = std::any_of(config_.teams.begin(), config_.teams.end(),
+                                         [](const Team& team) { return team.has_guaranteed_share(); });
   if (any_guarantee) {
     std::sort(unfinished.begin(), unfinished.end(),
               [](const Job* a, const Job* b) { return a->submitted < b->submitted; });
     std::map<std::string, wire::Resources> claimed;
     for (const Job* job : unfinished) {
-      const Team* team = team_named(config_, job->spec.team);
-      if (!team || !has_guarantee(*team)) continue;
+      const Team* team = config_.find_team(job->spec.team);
+      if (!team || !team->has_guaranteed_share()) continue;
       auto& sum = claimed[job->spec.team];
       sum += job->spec.task_resources * static_cast<double>(job->spec.task_count - job->done_count);
       if (sum.cpus <= team->guaranteed_share.cpus && sum.gpus <= team->guaranteed_share.gpus)
@@ -222,7 +213,7 @@
 
 std::size_t Cluster::quota_headroom(const Job& job) const {
   constexpr std::size_t kAny = std::numeric_limits<std::uint32_t>::max();
-  const Team* team = team_named(config_, job.spec.team);
+  const Team* team = config_.find_team(job.spec.team);
   if (!team) return kAny;
   const auto used = team_usage(job.spec.team);
   constexpr double kRounding = 1e-6;
@@ -273,11 +264,6 @@
   return job.spec.image_gb / std::max(constants::kMinImageFetchRate, type_of(machine)->fetch_gb_per_s);
 }
 
-bool Cluster::fetches_image(const Machine& machine, const Job& job) {
-  return std::any_of(machine.assignments.begin(), machine.assignments.end(),
-                     [&](const AssignedTask& task) { return task.job->spec.image == job.spec.image; });
-}
-
 std::optional<double> Cluster::cost_of(const Job& job, const Machine& machine, double largest_cpus) const {
   const auto free = room(machine);
   if (!job.spec.task_resources.fits_into(free)) return std::nullopt;
@@ -289,7 +275,7 @@
   if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCost;
   if (!machine.has_image(job.spec.image)) {
     const double fetch = fetch_s(job, machine);
-    cost += fetches_image(machine, job) ? fetch * constants::kSharedImageFetchShare : fetch;
+    cost += machine.fetches_image(job.spec.image) ? fetch * constants::kSharedImageFetchShare : fetch;
   }
   return cost;
 }
@@ -354,9 +340,10 @@
   std::vector<std::pair<double, Machine*>> offers;
   for (Machine* machine : open) {
     ++scanned_;
-    if (avoided.contains(machine->type_number) || kept_from(job, *machine, now)) continue;
+    if (avoided.contains(machine->type_number) || machine->reserved_against(job, now)) continue;
     if (picky && tier(*machine) > open_tier_) continue;
-    if (!any_image && !machine->has_image(job.spec.image) && !fetches_image(*machine, job)) continue;
+    if (!any_image && !machine->has_image(job.spec.image) && !machine->fetches_image(job.spec.image))
+      continue;
     if (const auto cost = cost_of(job, *machine, largest)) offers.emplace_back(*cost, machine);
   }
   std::sort(offers.begin(), offers.end(), [](const auto& a, const auto& b) {
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -114,7 +114,7 @@
     coming = true;
     const std::size_t tasks = std::min(wanted, chance.tasks);
     for (const auto& victim : chance.victims)
-      stop(victim.assignment(), victim.job->spec.checkpoint_duration_s);
+      victim.assignment().stop(victim.job->spec.checkpoint_duration_s);
     claimed[chance.machine] += each * static_cast<double>(tasks);
     wanted -= tasks;
   }
--- a/src/core/reports.cpp
+++ b/src/core/reports.cpp
@@ -88,14 +88,16 @@
           assignment->running_since = now;
           job->second.started = true;
           if (job->second.gang.started_at == 0) job->second.gang.started_at = now;
-          note_image(machine, job->second);
+          const auto* type = type_of(machine);
+          machine.note_image({job->second.spec.image, job->second.spec.image_gb},
+                             type ? std::optional(type->cache_gb) : std::nullopt);
         }
         assignment->state = task.state;
       }
     }
     if (ended || !assignment) machine.unassigned_tasks.push_back(task);
     if (!ended && !assignment) machine.runs_unknown_tasks = true;
-    if (ended && std::find(forgotten.begin(), forgotten.end(), std::pair(task.task, task.attempt)) !=
+    if (ended && std::find(forgotten.begin(), forgotten.end(), TaskAttempt{task.task, task.attempt}) !=
                      forgotten.end()) {
       heeded = false;
       unheeded = true;
@@ -257,22 +259,7 @@
     const double ran_s = assignment.ran_s(now);
     // One that is nearly through even so is better left alone; one that saves loses little.
     if (spec.checkpoint_interval_s > 0 || ran_s < constants::kCertainStragglerFactor * task.job->mean_run_s())
-      stop(assignment, spec.checkpoint_duration_s);
-  }
-}
-
-void Cluster::note_image(Machine& machine, const Job& job) {
-  auto& images = machine.images;
-  if (!images.empty() && images.back().first == job.spec.image) return;
-  std::erase_if(images, [&](const auto& each) { return each.first == job.spec.image; });
-  images.emplace_back(job.spec.image, job.spec.image_gb);
-  const auto* type = type_of(machine);
-  if (!type) return;
-  double held = 0;
-  for (const auto& each : images) held += each.second;
-  while (held > type->cache_gb && images.size() > 1) {
-    held -= images.front().second;
-    images.erase(images.begin());
+      assignment.stop(spec.checkpoint_duration_s);
   }
 }
 
@@ -290,7 +277,7 @@
     // A result must be on record before the only witness of it forgets.
     if (!result_durable(task)) continue;
     commands.push_back({wire::CommandKind::acknowledge, task.task, task.attempt, 0});
-    machine.acknowledged_exits.emplace_back(task.task, task.attempt);
+    machine.acknowledged_exits.push_back({task.task, task.attempt});
   }
   for (const auto& task : machine.assignments) {
     if (commands.size() >= constants::kMaxCommandsPerResponse) return commands;
@@ -303,7 +290,6 @@
       commands.push_back({wire::CommandKind::start, ref, assignment.attempt, 0});
       assignment.dispatched = true;
       assignment.dispatched_incarnation = machine.incarnation;
-      assignment.dispatched_sequence_number = machine.sequence_number;
     }
   }
   return commands;
--- a/src/core/timers.cpp
+++ b/src/core/timers.cpp
@@ -69,9 +69,9 @@
       // Orders travel only with answers, so the last chance is a report period before it is needed.
       if (left <= spec.checkpoint_duration_s + constants::kTerminationNoticeMargin +
                       1.25 * config_.heartbeat_interval_s)
-        stop(assignment, spec.checkpoint_duration_s);
+        assignment.stop(spec.checkpoint_duration_s);
     } else if (spec.kind == wire::JobKind::service || remaining > left) {
-      stop(assignment, 0);  // it can't end here: the sooner it starts again elsewhere the better
+      assignment.stop(0);  // it can't end here: the sooner it starts again elsewhere the better
     }
   }
 }
