--- a/src/app/job_request_handler.hpp
+++ b/src/app/job_request_handler.hpp
@@ -12,7 +12,7 @@
 
 #include "app/latency_histogram.hpp"
 #include "app/poll_batcher.hpp"
-#include "core/cluster.hpp"
+#include "core/leader_state_machine.hpp"
 #include "core/stored_records.hpp"
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -218,7 +218,7 @@
           "event=fleet type={} zone={} spot={} machines={} booting={} empty={} cpus={:.0f} of={:.0f}",
           offering.type, offering.zone, offering.spot, use.machines, use.booting, use.empty, use.cpus_used,
           use.cpus);
-    const auto count = self->cluster_.count();
+    const auto count = self->cluster_.fleet_summary();
     const auto tasks = self->cluster_.assignment_counts();
     spdlog::info("event=tasks unsent={} fetching={} running={}", tasks.never_dispatched, tasks.fetching,
                  tasks.running);
@@ -227,8 +227,8 @@
         "stale={:.1f}",
         count.machines, count.booting, count.overwhelmed, count.underwhelmed, count.free, count.waiting_tasks,
         self->cluster_.jobs(), self->staleness());
-    spdlog::info("event=pages kept={} saving={} held={}", self->cluster_.segments(), self->writes_in_flight_,
-                 self->held_responses_.size());
+    spdlog::info("event=pages kept={} saving={} held={}", self->cluster_.task_log_segments(),
+                 self->writes_in_flight_, self->held_responses_.size());
   }
 }
 
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "cloud/cloud_client.hpp"
-#include "core/cluster.hpp"
+#include "core/leader_state_machine.hpp"
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
 #include "store/election.hpp"
@@ -115,7 +115,7 @@
 
   Services services_;
   const core::ClusterConfig& config_;
-  core::Cluster cluster_;
+  core::LeaderStateMachine cluster_;
   Listener listener_;
   bool alive_ = true;
   net::WakeUp work_;
--- a/src/app/leader_term_loader.cpp
+++ b/src/app/leader_term_loader.cpp
@@ -117,7 +117,7 @@
         present.insert(item.key);
         self->submit_record(item.key, item.value, item.version);
       }
-      for (const auto& id : self->cluster_.open_jobs())
+      for (const auto& id : self->cluster_.active_jobs())
         if (!present.contains(core::key::active_job(id))) net::spawn(confirm_removal(self, id));
       self->watch_from_ = page.value.revision;
       continue;
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model.hpp"
+#include "core/config.hpp"
 #include "net/socket.hpp"
 
 namespace dockdyke::app {
--- /dev/null
+++ b/src/core/cluster_state.cpp
@@ -0,0 +1,197 @@
+#include "core/cluster_state.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+
+namespace dockdyke::core {
+
+ClusterState::ClusterState(ClusterConfig config, FencingToken token)
+    : config_(std::move(config)), token_(token) {}
+
+void ClusterState::lower_write_rate(double per_second) {
+  config_.write_rps = std::min(config_.write_rps, per_second);
+}
+
+void ClusterState::mark_loaded() {
+  loaded_ = true;
+  request_assignment_pass();
+}
+
+// ---- Jobs -------------------------------------------------------------------------------------------------
+
+Job* ClusterState::find_job(const JobId& id) {
+  auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+const Job* ClusterState::find_job(const JobId& id) const {
+  auto found = jobs_.find(id);
+  return found == jobs_.end() ? nullptr : &found->second;
+}
+
+Job* ClusterState::find_job(std::uint32_t serial) const {
+  auto found = jobs_by_serial_.find(serial);
+  return found == jobs_by_serial_.end() ? nullptr : found->second;
+}
+
+Job& ClusterState::add_job(const wire::JobSpec& spec, Revision version, Time submitted, Time now) {
+  Job& job = jobs_[spec.id];
+  job.spec = spec;
+  job.serial = next_serial_++;
+  jobs_by_serial_[job.serial] = &job;
+  job.submitted = submitted;
+  job.tasks.assign(spec.task_count, TaskProgress{});
+  job.version = version;
+  job.queued_since = now;
+  job.team_usage = &usage_[spec.team];
+  update_compatible_types(job);
+  request_assignment_pass();
+  return job;
+}
+
+void ClusterState::remove_job(const JobId& id, Time now) {
+  ended_jobs_[id] = now;
+  jobs_by_serial_.erase(jobs_.at(id).serial);
+  jobs_.erase(id);
+}
+
+bool ClusterState::remember_ended(const JobId& id, Time now) {
+  return ended_jobs_.insert_or_assign(id, now).second;
+}
+
+// ---- Machines ---------------------------------------------------------------------------------------------
+
+Machine* ClusterState::find_machine(const MachineId& id) {
+  auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+const Machine* ClusterState::find_machine(const MachineId& id) const {
+  auto found = machines_.find(id);
+  return found == machines_.end() ? nullptr : &found->second;
+}
+
+Machine& ClusterState::find_or_add_machine(const MachineId& id, Time now) {
+  auto [found, added] = machines_.try_emplace(id);
+  Machine& machine = found->second;
+  if (added) {
+    machine.id = id;
+    machine.rented_at = now;
+    machine.idle_since = now;
+    // A machine known only by its id may run tasks, so its silence counts from now on.
+    machine.last_heartbeat_at = now;
+  }
+  return machine;
+}
+
+void ClusterState::set_offering(Machine& machine, const std::string& type, const std::string& zone,
+                                bool spot) {
+  if (machine.type != type || machine.type_number == kNoType) {
+    machine.type = type;
+    machine.type_number = type_number(type);
+  }
+  if (machine.zone != zone) machine.zone = zone;
+  machine.spot = spot;
+}
+
+void ClusterState::remove_machine(const MachineId& id, Time now) {
+  if (Machine* machine = find_machine(id)) {
+    awaiting_response_.erase(machine);
+    machines_.erase(id);
+  }
+  deleted_machines_[id] = now;
+}
+
+void ClusterState::expire_tombstones(Time now) {
+  const auto expired = [now](const auto& each) { return now - each.second > constants::kTombstoneTtl; };
+  std::erase_if(deleted_machines_, expired);
+  std::erase_if(ended_jobs_, expired);
+}
+
+void ClusterState::expect_response(Machine& machine) {
+  machine.response_pending = true;
+  awaiting_response_.insert(&machine);
+}
+
+void ClusterState::response_sent(Machine& machine, Time now) {
+  machine.last_response_at = now;
+  machine.response_pending = false;
+  awaiting_response_.erase(&machine);
+}
+
+// ---- Machine types ----------------------------------------------------------------------------------------
+
+void ClusterState::update_types(const std::vector<wire::MachineType>& types) {
+  for (auto& type : types_) type.zones.clear();
+  for (const auto& type : types) {
+    const auto known = type_number(type.name);
+    if (known == kNoType) {
+      types_.push_back(type);
+    } else {
+      types_[known] = type;
+    }
+  }
+  for (auto& [id, job] : jobs_) update_compatible_types(job);
+  for (auto& [id, machine] : machines_)
+    if (!machine.type.empty()) set_offering(machine, machine.type, machine.zone, machine.spot);
+  request_assignment_pass();
+}
+
+std::size_t ClusterState::type_number(const std::string& name) const {
+  auto found =
+      std::find_if(types_.begin(), types_.end(), [&](const auto& type) { return type.name == name; });
+  return found == types_.end() ? kNoType : static_cast<std::size_t>(found - types_.begin());
+}
+
+const wire::MachineType* ClusterState::type_of(const Machine& machine) const {
+  return machine.type_number < types_.size() ? &types_[machine.type_number] : nullptr;
+}
+
+double ClusterState::largest_cpus() const {
+  double largest = 1;
+  for (const auto& type : types_) largest = std::max(largest, type.size.cpus);
+  return largest;
+}
+
+void ClusterState::update_compatible_types(Job& job) const {
+  const auto& named = job.spec.machine_types;
+  job.compatible_types.assign(types_.size(), false);
+  for (std::size_t i = 0; i < types_.size(); ++i)
+    job.compatible_types[i] =
+        job.spec.task_resources.fits_into(types_[i].size) &&
+        (!named || std::find(named->begin(), named->end(), types_[i].name) != named->end());
+}
+
+// ---- Assignments ------------------------------------------------------------------------------------------
+
+void ClusterState::begin_assignment(Job& job, TaskIndex index, const TaskAssignment& assignment) {
+  Machine& machine = *assignment.machine;
+  machine.assignments.push_back({&job, index});
+  machine.used += job.spec.task_resources;
+  *job.team_usage += job.spec.task_resources;
+  job.assignments.insert_or_assign(index, assignment);
+}
+
+bool ClusterState::end_assignment(Job& job, TaskIndex index, Time now) {
+  auto found = job.assignments.find(index);
+  if (found == job.assignments.end()) return false;
+  Machine& machine = *found->second.machine;
+  std::erase(machine.assignments, AssignedTask{&job, index});
+  machine.used -= job.spec.task_resources;
+  if (machine.assignments.empty()) {
+    machine.used = {};
+    machine.idle_since = now;
+  }
+  *job.team_usage -= job.spec.task_resources;
+  job.assignments.erase(found);
+  return true;
+}
+
+wire::Resources ClusterState::team_usage(const std::string& team) const {
+  auto found = usage_.find(team);
+  return found == usage_.end() ? wire::Resources{} : found->second;
+}
+
+}  // namespace dockdyke::core
--- /dev/null
+++ b/src/core/leader_state_machine.cpp
@@ -0,0 +1,299 @@
+#include "core/leader_state_machine.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+
+namespace dockdyke::core {
+
+LeaderStateMachine::LeaderStateMachine(ClusterConfig config, FencingToken token, Time now,
+                                       std::int64_t time_of_day_ms)
+    : elected_at_(now),
+      elected_ms_(time_of_day_ms),
+      state_(std::move(config), token),
+      constraints_(state_),
+      queue_(state_, constraints_, run_time_estimator_),
+      task_log_(state_, effects_),
+      gang_records_(state_, effects_),
+      writes_(state_, task_log_, gang_records_),
+      lifecycle_(state_, queue_, task_log_, effects_),
+      recovery_(state_, task_log_, writes_, lifecycle_),
+      gang_checkpoint_(state_, constraints_, lifecycle_, effects_),
+      notices_(state_, lifecycle_, gang_checkpoint_),
+      health_(state_, constraints_),
+      failure_detector_(state_, constraints_, lifecycle_),
+      reconciler_(state_, queue_, task_log_, writes_, lifecycle_, health_, notices_, run_time_estimator_),
+      worker_commands_(state_, constraints_, queue_),
+      scale_out_(token, effects_),
+      scale_in_(state_, effects_),
+      inventory_(state_, scale_out_, scale_in_, lifecycle_),
+      offering_selector_(state_, constraints_, scale_out_),
+      scarce_types_(state_, queue_, offering_selector_),
+      gang_scheduler_(state_, constraints_, queue_, gang_records_, lifecycle_),
+      gang_reservations_(state_, constraints_, queue_),
+      placer_(state_, constraints_, queue_, task_log_, scarce_types_, gang_scheduler_),
+      preemption_(state_, constraints_, queue_),
+      planner_(state_, constraints_, queue_, scale_out_, offering_selector_, scarce_types_,
+               gang_reservations_),
+      autoscaler_(state_, constraints_, planner_, scale_out_, scale_in_) {}
+
+// ---- Inputs -----------------------------------------------------------------------------------------------
+
+void LeaderStateMachine::apply(const Event& event, Time now) {
+  std::visit([&](const auto& each) { on(each, now); }, event);
+}
+
+HeartbeatOutcome LeaderStateMachine::apply_heartbeat(const wire::Heartbeat& heartbeat, Time now) {
+  return reconciler_.apply(heartbeat, now);
+}
+
+void LeaderStateMachine::assign_tasks(Time now) {
+  if (!state_.loaded()) return;
+  lifecycle_.stop_aborted_gangs(now);
+  placer_.assign_tasks(now);
+}
+
+// ---- Records of earlier leaders ---------------------------------------------------------------------------
+
+namespace {
+
+// Times of day may differ between controllers, so an age is never taken as negative.
+double age_s(std::int64_t now_ms, std::int64_t then_ms) {
+  return static_cast<double>(now_ms - then_ms) / 1000.0;
+}
+
+}  // namespace
+
+Job& LeaderStateMachine::add_job(const JobRecord& record, Revision version, Time now) {
+  const double job_age_s = age_s(elected_ms_, record.submitted_ms) + (now - elected_at_);
+  Job& job = state_.add_job(record.spec, version, now - std::max(0.0, job_age_s), now);
+  job.expected_run_s = run_time_estimator_.expected(record.spec.job_class, record.spec.estimated_run_s);
+  gang_reservations_.note_arrival(job, now);
+  queue_.invalidate();
+  return job;
+}
+
+void LeaderStateMachine::on(const JobLoaded& event, Time now) {
+  // Active jobs come first: one that was cancelled while the records were read is then known as active, and
+  // the watch tells of its end.
+  if (state_.find_job(event.record.spec.id)) return;
+  Job& job = add_job(event.record, event.version, now);
+  if (!event.terminating) return;
+  job.cancelled = true;
+  const double cancelled_s = age_s(elected_ms_, event.record.cancelled_ms.value_or(elected_ms_));
+  job.cancelled_at = now - std::max(0.0, cancelled_s);
+}
+
+void LeaderStateMachine::on(const SegmentLoaded& event, Time) {
+  recovery_.load(event);
+}
+
+void LeaderStateMachine::on(const GangPartLoaded& event, Time) {
+  recovery_.load(event);
+}
+
+void LeaderStateMachine::on(const ScaleOutLoaded& event, Time now) {
+  scale_out_.adopt(event.request, now);
+}
+
+void LeaderStateMachine::on(const ScaleInLoaded& event, Time now) {
+  scale_in_.adopt(event.key, event.machines, now);
+}
+
+void LeaderStateMachine::on(const LoadCompleted&, Time now) {
+  recovery_.complete(now);
+}
+
+// ---- Jobs -------------------------------------------------------------------------------------------------
+
+void LeaderStateMachine::on(const JobSubmitted& event, Time now) {
+  // Until the records are read, an active record may have tasks that segments tell of: loading brings it. And
+  // news of a submission may come after the job's end, when its record was read long before or its watch was
+  // slow.
+  const auto& id = event.record.spec.id;
+  if (!state_.loaded() || state_.find_job(id) || state_.recently_ended(id)) return;
+  add_job(event.record, event.version, now);
+}
+
+void LeaderStateMachine::on(const JobRecordRemoved& event, Time now) {
+  Job* job = state_.find_job(event.id);
+  if (!job) {
+    // News of its submission may still come. A job that was cancelled before it was known here has no tasks,
+    // and nobody else would delete the copy of its record.
+    if (state_.remember_ended(event.id, now) && state_.loaded())
+      effects_.push(DeleteKeys{{key::terminating_job(event.id)}});
+    return;
+  }
+  if (job->unfinished()) {
+    job->cancelled = true;
+    job->cancelled_at = now;
+    if (state_.loaded()) lifecycle_.stop_cancelled_job(*job, now);
+  }
+  state_.request_assignment_pass();
+  if (state_.loaded()) lifecycle_.remove_if_finished(*job, now);
+}
+
+// ---- Writes -----------------------------------------------------------------------------------------------
+
+std::optional<StateWrite> LeaderStateMachine::next_write(Time now) {
+  return writes_.next(now);
+}
+
+std::optional<double> LeaderStateMachine::next_write_due_in(Time now) const {
+  return writes_.next_due_in(now);
+}
+
+std::vector<Effect> LeaderStateMachine::take_effects() {
+  return effects_.take();
+}
+
+void LeaderStateMachine::on(const WriteApplied& event, Time now) {
+  for (const auto& id : writes_.applied(event.number)) lifecycle_.terminal_record_stored(id, now);
+}
+
+void LeaderStateMachine::on(const WriteConflicted& event, Time now) {
+  for (const auto& id : writes_.conflicted(event.number, event.failed_keys)) {
+    // Its active record was removed by an earlier try, or by a cancellation whose copy nobody else would
+    // delete.
+    effects_.push(DeleteKeys{{key::terminating_job(id)}});
+    lifecycle_.terminal_record_stored(id, now);
+  }
+}
+
+void LeaderStateMachine::on(const WriteRejected& event, Time) {
+  if (Job* gang = writes_.rejected(event.number)) lifecycle_.abort_gang(*gang);
+}
+
+void LeaderStateMachine::on(const WriteRateLowered& event, Time) {
+  state_.lower_write_rate(event.per_second);
+}
+
+// ---- The cloud --------------------------------------------------------------------------------------------
+
+void LeaderStateMachine::on(const MachinesListed& event, Time now) {
+  inventory_.apply(event, now);
+}
+
+void LeaderStateMachine::on(const ScaleOutGranted& event, Time now) {
+  inventory_.apply(event, now);
+}
+
+void LeaderStateMachine::on(const ScaleOutRefused& event, Time now) {
+  scale_out_.refused(event.id, now);
+}
+
+void LeaderStateMachine::on(const MachinesDeleted& event, Time now) {
+  inventory_.apply(event, now);
+}
+
+void LeaderStateMachine::on(const MachineTypesChanged& event, Time) {
+  state_.update_types(event.types);
+}
+
+// ---- Time -------------------------------------------------------------------------------------------------
+
+void LeaderStateMachine::on(const Tick&, Time now) {
+  state_.expire_tombstones(now);
+  if (!state_.loaded()) return;
+  task_log_.delete_obsolete_keys();
+  scale_in_.request(failure_detector_.machines_holding_cancelled_tasks(now));
+  failure_detector_.expire_leases(now);
+  health_.drain_faulty_machines(now);
+  gang_scheduler_.abort_incomplete_attempts(now);
+  for (auto& [id, machine] : state_.machines()) {
+    notices_.apply(machine, now);
+    health_.drain_if_straggler(machine, now);
+  }
+  queue_.invalidate();
+  scarce_types_.update(now);
+  gang_scheduler_.assign_to_any_machines(now);
+  gang_reservations_.reserve_for_waiting_gang(now);
+  gang_reservations_.hold_reserve(now);
+  preemption_.run(now);
+  if (autoscaler_.run_due(now)) {
+    scale_in_.request(failure_detector_.machines_to_delete(now));
+    autoscaler_.run(now);
+  } else {
+    autoscaler_.scale_out_for_waiting(now);
+  }
+  state_.request_assignment_pass();  // backoffs may have ended
+}
+
+// ---- Responses to workers ---------------------------------------------------------------------------------
+
+std::vector<wire::Command> LeaderStateMachine::commands_for(const MachineId& machine, bool allow_starts,
+                                                            Time) {
+  return worker_commands_.commands_for(machine, allow_starts);
+}
+
+ResponseHold LeaderStateMachine::response_hold(const MachineId& machine, Time now) const {
+  return worker_commands_.response_hold(machine, now);
+}
+
+bool LeaderStateMachine::awaits_response(const wire::Heartbeat& heartbeat) const {
+  return worker_commands_.awaits_response(heartbeat);
+}
+
+void LeaderStateMachine::response_sent(const MachineId& machine, Time now) {
+  worker_commands_.response_sent(machine, now);
+}
+
+// ---- Views ------------------------------------------------------------------------------------------------
+
+std::optional<JobProgress> LeaderStateMachine::progress(const JobId& id) const {
+  using wire::TaskState;
+  const Job* known = job(id);
+  if (!loaded() || !known || known->cancelled) return std::nullopt;
+  const auto running = static_cast<std::uint64_t>(
+      std::count_if(known->assignments.begin(), known->assignments.end(), [](const auto& each) {
+        const TaskAssignment& assignment = each.second;
+        return assignment.observed &&
+               (assignment.state == TaskState::running || assignment.state == TaskState::saving);
+      }));
+  const bool begun = running > 0 || known->done_count > 0;
+  const auto state = begun ? wire::JobState::running : wire::JobState::pending;
+  return JobProgress{known->version, {state, known->done_count, running}};
+}
+
+std::size_t LeaderStateMachine::machines_up() const {
+  const auto& machines = state_.machines();
+  return static_cast<std::size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& each) {
+    return each.second.state == MachineState::up && !each.second.scale_in_requested;
+  }));
+}
+
+std::vector<JobId> LeaderStateMachine::active_jobs() const {
+  std::vector<JobId> out;
+  for (const auto& [id, job] : state_.jobs())
+    if (!job.cancelled) out.push_back(id);
+  return out;
+}
+
+AssignmentCounts LeaderStateMachine::assignment_counts() const {
+  AssignmentCounts out;
+  for (const auto& [id, job] : state_.jobs())
+    for (const auto& [index, assignment] : job.assignments) {
+      out.never_dispatched += assignment.never_dispatched() ? 1 : 0;
+      if (!assignment.observed) continue;
+      out.fetching += assignment.state == wire::TaskState::fetching ? 1 : 0;
+      out.running += assignment.state == wire::TaskState::running ? 1 : 0;
+    }
+  return out;
+}
+
+std::map<InstanceOffering, OfferingUsage> LeaderStateMachine::usage_by_offering() const {
+  std::map<InstanceOffering, OfferingUsage> out;
+  for (const auto& [id, machine] : state_.machines()) {
+    if (machine.state == MachineState::gone) continue;
+    OfferingUsage& usage = out[{machine.type, machine.zone, machine.spot}];
+    ++usage.machines;
+    usage.booting += machine.state == MachineState::booting ? 1 : 0;
+    usage.empty += machine.state == MachineState::up && machine.assignments.empty() ? 1 : 0;
+    if (const auto* type = state_.type_of(machine)) usage.cpus += type->size.cpus;
+    usage.cpus_used += machine.used.cpus;
+  }
+  return out;
+}
+
+}  // namespace dockdyke::core
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -1,141 +1,149 @@
-// Room made for waiting jobs by stopping lesser work.
+#include "core/preemption.hpp"
+
 #include <algorithm>
 #include <utility>
 
 #include "constants.hpp"
-#include "core/cluster.hpp"
+#include "core/gang_scheduler.hpp"
 
 namespace dockdyke::core {
 
-bool Cluster::may_stop(const Ranked& claimant, const Job& victim) const {
+Preemption::Preemption(ClusterState& state, const SchedulingConstraints& constraints, JobQueue& queue)
+    : state_(state), constraints_(constraints), queue_(queue) {}
+
+bool Preemption::may_preempt(const QueuedJob& claimant, const Job& victim) const {
   // A gang loses all that all its tasks did since their last checkpoint.
   if (victim.cancelled || victim.is_gang() || &victim == claimant.job) return false;
-  if (claimant.guaranteed && victim.spec.team != claimant.job->spec.team)
-    return !guaranteed_.contains(victim.spec.id);
-  return victim.spec.priority < claimant.job->spec.priority && !guaranteed_.contains(victim.spec.id);
+  const bool victim_within_share = queue_.within_fair_share(victim);
+  if (claimant.within_fair_share && victim.spec.team != claimant.job->spec.team) return !victim_within_share;
+  return victim.spec.priority < claimant.job->spec.priority && !victim_within_share;
 }
 
-// What stopping some tasks of one machine would cost, and the room that it would make.
-struct Cluster::Chance {
-  double loss = 0;  // for each task that it makes room for
-  Machine* machine = nullptr;
-  std::vector<AssignedTask> victims;
-  std::size_t tasks = 0;
-  bool dear = false;  // some of what is stopped is more than work for idle hours
-};
-
-std::vector<std::pair<double, AssignedTask>> Cluster::victims_on(const Ranked& claimant,
-                                                                 const Machine& machine, Time now) const {
-  std::vector<std::pair<double, AssignedTask>> victims;
+std::vector<Preemption::Victim> Preemption::victims_on(const QueuedJob& claimant, const Machine& machine,
+                                                       Time now) const {
+  std::vector<Victim> victims;
   for (const auto& task : machine.assignments) {
-    const Job& other = *task.job;
+    const auto& spec = task.job->spec;
     const TaskAssignment& assignment = task.assignment();
-    if (assignment.stopping || !may_stop(claimant, other)) continue;
-    const double ran = assignment.ran_s(now);
+    if (assignment.stopping || !may_preempt(claimant, *task.job)) continue;
+    const double lost_s = spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : assignment.ran_s(now);
     // Work for idle hours makes way before that of owners who wait for it.
-    const auto above_low =
-        static_cast<double>(other.spec.priority) - static_cast<double>(wire::Priority::low);
-    victims.emplace_back((other.spec.checkpoint_interval_s > 0 ? other.spec.checkpoint_duration_s : ran) +
-                             constants::kPreemptionPriorityCost * above_low,
-                         task);
+    const auto above_low = static_cast<double>(spec.priority) - static_cast<double>(wire::Priority::low);
+    victims.push_back({lost_s + constants::kPreemptionPriorityCost * above_low, task});
   }
-  std::sort(victims.begin(), victims.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
+  std::sort(victims.begin(), victims.end(),
+            [](const Victim& a, const Victim& b) { return a.cost_s < b.cost_s; });
   return victims;
 }
 
-std::optional<Cluster::Chance> Cluster::find_chance(const Ranked& claimant, Machine& machine,
-                                                    wire::Resources free, std::size_t wanted,
-                                                    Time now) const {
-  const auto& each = claimant.job->spec.task_resources;
-  Chance chance;
-  chance.machine = &machine;
-  double loss = 0;
-  std::vector<AssignedTask> chosen;
-  for (const auto& [cost, task] : victims_on(claimant, machine, now)) {
-    const bool dear = task.job->spec.priority > wire::Priority::low;
-    if (dear && chance.tasks > 0) break;
-    chance.dear = chance.dear || dear;
+std::optional<Preemption::Plan> Preemption::plan_for(const QueuedJob& claimant, Machine& machine,
+                                                     wire::Resources free, std::size_t wanted,
+                                                     Time now) const {
+  const auto& task_resources = claimant.job->spec.task_resources;
+  Plan plan;
+  plan.machine = &machine;
+  double cost_s = 0;
+  double cost_of_plan_s = 0;
+  std::vector<AssignedTask> chosen;  // since the last one that made room for a task
+  for (const auto& [victim_cost_s, task] : victims_on(claimant, machine, now)) {
+    const bool above_low = task.job->spec.priority > wire::Priority::low;
+    if (above_low && plan.tasks > 0) break;
+    plan.above_low_priority = plan.above_low_priority || above_low;
     free += task.job->spec.task_resources;
     chosen.push_back(task);
-    loss += cost + 1;
-    if (!each.fits_into(free)) continue;
-    for (; each.fits_into(free); ++chance.tasks) free -= each;
-    chance.victims.insert(chance.victims.end(), chosen.begin(), chosen.end());
-    chance.loss = loss;
+    cost_s += victim_cost_s + 1;
+    if (!task_resources.fits_into(free)) continue;
+    for (; task_resources.fits_into(free); ++plan.tasks) free -= task_resources;
+    plan.victims.insert(plan.victims.end(), chosen.begin(), chosen.end());
+    cost_of_plan_s = cost_s;
     chosen.clear();
-    if (chance.tasks >= wanted || chance.dear) break;
+    if (plan.tasks >= wanted || plan.above_low_priority) break;
   }
-  if (chance.tasks == 0) return std::nullopt;
-  chance.loss /= static_cast<double>(chance.tasks);
-  return chance;
+  if (plan.tasks == 0) return std::nullopt;
+  plan.cost_per_task = cost_of_plan_s / static_cast<double>(plan.tasks);
+  return plan;
 }
 
-wire::Resources Cluster::room_after_stops(const Machine& machine) const {
-  auto free = room(machine);
+wire::Resources Preemption::capacity_after_stops(const Machine& machine) const {
+  auto free = constraints_.free_capacity(machine);
   for (const auto& task : machine.assignments)
     if (task.assignment().stopping) free += task.job->spec.task_resources;
   return free;
 }
 
-void Cluster::make_room_for(const Ranked& claimant, const std::vector<Machine*>& open, ClaimedRoom& claimed,
-                            Time now) {
+Preemption::Search Preemption::search(const QueuedJob& claimant, const std::vector<Machine*>& machines,
+                                      ClaimedCapacity& claimed, Time now) {
   const Job& job = *claimant.job;
-  const auto& each = job.spec.task_resources;
-  const auto zones = zone_room(job);
-  // Room for all that waits: made for one task at a time, an array of two dozen took most of a minute.
-  // Where zones matter, and where what is stopped is more than work for idle hours, it goes step by step
-  // all the same: most of an array finds room that frees, and on a small fleet stopping all at once cost
-  // more than it gained.
-  std::size_t wanted = zones ? 1 : std::min<std::size_t>(job.waiting_tasks(), quota_headroom(job));
-  bool coming = false;  // room for one task at least, whoever else counts on it
-  std::vector<Chance> chances;
-  scanned_ += open.size();
-  for (Machine* machine : open) {
-    if (wanted == 0) break;
-    if (!allowed_on(job, machine->type_number, machine->zone, machine->spot)) continue;
-    if (zones && (!zones->contains(machine->zone) || zones->at(machine->zone) == 0)) continue;
+  const auto& task_resources = job.spec.task_resources;
+  const auto zones = constraints_.zone_capacity(job);
+  Search out;
+  // Room for all that waits: made for one task at a time, an array of two dozen took most of a minute. Where
+  // zones matter it goes step by step all the same.
+  out.wanted = zones ? 1 : std::min<std::size_t>(job.waiting_tasks(), constraints_.quota_headroom(job));
+  state_.count_scanned(machines.size());
+  for (Machine* machine : machines) {
+    if (out.wanted == 0) break;
+    if (!constraints_.allowed_on(job, *machine) || !has_zone_capacity(zones, machine->zone)) continue;
     if (job.failed_machines.contains(machine->id)) continue;
-    auto free = room_after_stops(*machine);
-    coming = coming || each.fits_into(free);
+    auto free = capacity_after_stops(*machine);
+    out.capacity_coming = out.capacity_coming || task_resources.fits_into(free);
     if (auto taken = claimed.find(machine); taken != claimed.end()) free -= taken->second;
-    // What is free or will be by earlier stops is waited for.
-    for (; wanted > 0 && each.fits_into(free); --wanted) {
-      free -= each;
-      claimed[machine] += each;
+    // What is free, or will be by earlier stops, is waited for.
+    for (; out.wanted > 0 && task_resources.fits_into(free); --out.wanted) {
+      free -= task_resources;
+      claimed[machine] += task_resources;
     }
-    if (auto chance = find_chance(claimant, *machine, free, wanted, now))
-      chances.push_back(*std::move(chance));
+    if (auto plan = plan_for(claimant, *machine, free, out.wanted, now))
+      out.plans.push_back(*std::move(plan));
   }
-  std::stable_sort(chances.begin(), chances.end(),
-                   [](const Chance& a, const Chance& b) { return a.loss < b.loss; });
-  for (const auto& chance : chances) {
-    if (wanted == 0) break;
-    if (chance.dear && coming) continue;
-    coming = true;
-    const std::size_t tasks = std::min(wanted, chance.tasks);
-    for (const auto& victim : chance.victims)
-      victim.assignment().stop(victim.job->spec.checkpoint_duration_s);
-    claimed[chance.machine] += each * static_cast<double>(tasks);
-    wanted -= tasks;
+  return out;
+}
+
+void Preemption::make_room_for(const QueuedJob& claimant, const std::vector<Machine*>& machines,
+                               ClaimedCapacity& claimed, Time now) {
+  Search found = search(claimant, machines, claimed, now);
+  std::stable_sort(found.plans.begin(), found.plans.end(),
+                   [](const Plan& a, const Plan& b) { return a.cost_per_task < b.cost_per_task; });
+  const auto& task_resources = claimant.job->spec.task_resources;
+  for (const auto& plan : found.plans) {
+    if (found.wanted == 0) break;
+    // Where what is stopped is more than work for idle hours, room is made for one task at a time: most of an
+    // array finds capacity that frees, and on a small fleet stopping all at once cost more than it gained.
+    if (plan.above_low_priority && found.capacity_coming) continue;
+    found.capacity_coming = true;
+    const std::size_t tasks = std::min(found.wanted, plan.tasks);
+    for (const auto& victim : plan.victims) victim.assignment().stop(victim.job->spec.checkpoint_duration_s);
+    claimed[plan.machine] += task_resources * static_cast<double>(tasks);
+    found.wanted -= tasks;
   }
 }
 
-void Cluster::make_room(Time now) {
-  std::optional<wire::Priority> least;  // of work that has places
-  for (const auto& [id, job] : jobs_)
-    if (!job.assignments.empty()) least = std::min(least.value_or(job.spec.priority), job.spec.priority);
-  std::optional<std::vector<Machine*>> open;  // worked out when the first job needs it
-  ClaimedRoom claimed;
-  for (const auto& ranked : ranking(now)) {
-    const Job& job = *ranked.job;
+std::optional<wire::Priority> Preemption::lowest_assigned_priority() const {
+  std::optional<wire::Priority> lowest;
+  for (const auto& [id, job] : state_.jobs())
+    if (!job.assignments.empty()) lowest = std::min(lowest.value_or(job.spec.priority), job.spec.priority);
+  return lowest;
+}
+
+bool Preemption::waits_long_enough(const Job& job, Time now) const {
+  return job.waiting_tasks() > 0 && now >= job.backoff_until &&
+         now - job.queued_since >= constants::kPreemptionDelay && constraints_.quota_headroom(job) > 0;
+}
+
+void Preemption::run(Time now) {
+  if (now - last_run_at_ < constants::kPreemptionInterval) return;
+  last_run_at_ = now;
+  const auto lowest = lowest_assigned_priority();
+  std::optional<std::vector<Machine*>> machines;  // found when the first job needs them
+  ClaimedCapacity claimed;
+  for (const auto& queued : queue_.ordered(now)) {
+    const Job& job = *queued.job;
     // Nothing may be stopped for it. A pass over all machines for each waiting job of the lowest priority
     // took a third of the leader's processor time at 2,049 machines.
-    if (!least || (job.spec.priority <= *least && !ranked.guaranteed)) continue;
-    if (job.is_gang() || job.waiting_tasks() == 0 || now < job.backoff_until ||
-        now - job.queued_since < constants::kPreemptionDelay || quota_headroom(job) == 0)
-      continue;
-    if (!open) open = accepting_machines(now);
-    make_room_for(ranked, *open, claimed, now);
+    if (!lowest || (job.spec.priority <= *lowest && !queued.within_fair_share)) continue;
+    if (job.is_gang() || !waits_long_enough(job, now)) continue;
+    if (!machines) machines = machines_accepting_work(state_, constraints_, now);
+    make_room_for(queued, *machines, claimed, now);
   }
 }
 
--- /dev/null
+++ b/src/core/scheduling_constraints.cpp
@@ -0,0 +1,89 @@
+#include "core/scheduling_constraints.hpp"
+
+#include <algorithm>
+#include <limits>
+
+#include "constants.hpp"
+
+namespace dockdyke::core {
+
+bool SchedulingConstraints::silent(const Machine& machine, Time now) const {
+  return now - machine.last_heartbeat_at >
+         constants::kSilentAfterHeartbeats * state_.config().heartbeat_interval_s;
+}
+
+bool SchedulingConstraints::boots_late(const Machine& machine, Time now) const {
+  const auto* type = state_.type_of(machine);
+  return type && now - machine.rented_at > constants::kLateBootFactor * type->boot_s;
+}
+
+bool SchedulingConstraints::accepts_work(const Machine& machine, Time now) const {
+  return machine.state == MachineState::up && machine.token_acknowledged && !machine.draining &&
+         !machine.scale_in_requested && !machine.terminates_at && !machine.runs_unknown_tasks &&
+         machine.failed_jobs.size() < constants::kFaultyMachineJobs &&
+         machine.undelivered_responses < constants::kUndeliveredResponsesThreshold &&
+         now >= machine.assignments_paused_until && !silent(machine, now);
+}
+
+wire::Resources SchedulingConstraints::free_capacity(const Machine& machine) const {
+  const auto* type = state_.type_of(machine);
+  if (!type) return {};
+  wire::Resources free = type->size;
+  free -= machine.used;
+  return free;
+}
+
+bool SchedulingConstraints::allowed_on(const Job& job, std::size_t type, const std::string& zone,
+                                       bool spot) const {
+  const auto& spec = job.spec;
+  return job.compatible_with(type) && (!spot || spec.spot_allowed) && (!spec.zone || *spec.zone == zone);
+}
+
+ZoneCapacity SchedulingConstraints::zone_capacity(const Job& job) const {
+  if (!job.spec.same_zone && !job.spec.spread) return std::nullopt;
+  constexpr auto kUnlimited = std::numeric_limits<std::size_t>::max();
+  std::map<std::string, std::size_t> zones;
+  for (const auto& type : state_.types())
+    for (const auto& zone : type.zones) zones[zone] = kUnlimited;
+  for (const auto& [id, machine] : state_.machines())
+    if (!machine.zone.empty()) zones.try_emplace(machine.zone, kUnlimited);
+
+  std::map<std::string, std::size_t> taken;
+  for (const auto& [index, assignment] : job.assignments) ++taken[assignment.machine->zone];
+  // A task on a machine whose zone is not known yet might be in any of them.
+  const std::size_t unknown = taken.contains("") ? taken[""] : 0;
+  const std::size_t most_per_zone = (static_cast<std::size_t>(job.spec.task_count) + 1) / 2;
+  for (auto& [zone, capacity] : zones) {
+    const std::size_t here = (taken.contains(zone) ? taken[zone] : 0) + unknown;
+    if (job.spec.spread) capacity = most_per_zone > here ? most_per_zone - here : 0;
+    if (job.spec.same_zone && !taken.empty() && (unknown > 0 || !taken.contains(zone))) capacity = 0;
+  }
+  return zones;
+}
+
+std::size_t SchedulingConstraints::quota_headroom(const Job& job) const {
+  constexpr std::size_t kUnlimited = std::numeric_limits<std::uint32_t>::max();
+  const Team* team = state_.config().find_team(job.spec.team);
+  if (!team) return kUnlimited;
+  const auto used = state_.team_usage(job.spec.team);
+  constexpr double kRounding = 1e-6;
+  auto headroom = [&](double quota, double usage, double per_task) -> std::size_t {
+    if (quota <= 0 || per_task <= 0) return kUnlimited;
+    const double tasks = (quota - usage + kRounding) / per_task;
+    return tasks <= 0 ? 0 : static_cast<std::size_t>(std::min(tasks, static_cast<double>(kUnlimited)));
+  };
+  return std::min(headroom(team->quota.cpus, used.cpus, job.spec.task_resources.cpus),
+                  headroom(team->quota.gpus, used.gpus, job.spec.task_resources.gpus));
+}
+
+double SchedulingConstraints::heartbeat_round_s() const {
+  return constants::kHeartbeatRoundFactor * state_.config().heartbeat_interval_s;
+}
+
+bool has_zone_capacity(const ZoneCapacity& zones, const std::string& zone) {
+  if (!zones) return true;
+  const auto found = zones->find(zone);
+  return found != zones->end() && found->second > 0;
+}
+
+}  // namespace dockdyke::core
--- /dev/null
+++ b/src/core/termination_notices.cpp
@@ -0,0 +1,38 @@
+#include "core/termination_notices.hpp"
+
+#include <algorithm>
+
+#include "core/checkpoint_timing.hpp"
+
+namespace dockdyke::core {
+
+TerminationNotices::TerminationNotices(const ClusterState& state, TaskLifecycle& lifecycle,
+                                       GangCheckpoint& gang_checkpoint)
+    : state_(state), lifecycle_(lifecycle), gang_checkpoint_(gang_checkpoint) {}
+
+void TerminationNotices::apply(Machine& machine, Time now) {
+  if (!machine.terminates_at) return;
+  lifecycle_.release_undispatched(machine, now);
+  const double left_s = *machine.terminates_at - now;
+  for (const auto& task : machine.assignments) {
+    if (task.assignment().stopping) continue;
+    if (task.job->is_gang()) {
+      gang_checkpoint_.handle_termination_notice(*task.job, left_s, now);
+    } else {
+      stop_if_due(task, left_s, now);
+    }
+  }
+}
+
+void TerminationNotices::stop_if_due(const AssignedTask& task, double left_s, Time now) {
+  const auto& spec = task.job->spec;
+  TaskAssignment& assignment = task.assignment();
+  const double remaining_s = std::max(0.0, task.job->expected_run_s - assignment.ran_s(now));
+  if (spec.checkpoint_interval_s > 0) {
+    if (left_s <= last_chance_to_save_s(state_.config(), spec)) assignment.stop(spec.checkpoint_duration_s);
+  } else if (spec.kind == wire::JobKind::service || remaining_s > left_s) {
+    assignment.stop(0);  // it can't end here: the sooner it starts again elsewhere the better
+  }
+}
+
+}  // namespace dockdyke::core
--- /dev/null
+++ b/src/core/worker_commands.cpp
@@ -0,0 +1,111 @@
+#include "core/worker_commands.hpp"
+
+#include <algorithm>
+
+#include "constants.hpp"
+
+namespace dockdyke::core {
+
+using wire::Command;
+using wire::CommandKind;
+
+WorkerCommands::WorkerCommands(ClusterState& state, const SchedulingConstraints& constraints,
+                               const JobQueue& queue)
+    : state_(state), constraints_(constraints), queue_(queue) {}
+
+// ---- Commands ---------------------------------------------------------------------------------------------
+
+std::vector<Command> WorkerCommands::commands_for(const MachineId& id, bool allow_starts) {
+  std::vector<Command> commands;
+  Machine* machine = state_.find_machine(id);
+  if (!machine || !state_.loaded() || !machine->token_acknowledged) return commands;
+  add_commands_for_unassigned(*machine, commands);
+  add_commands_for_assigned(*machine, allow_starts, commands);
+  return commands;
+}
+
+void WorkerCommands::add_commands_for_unassigned(Machine& machine, std::vector<Command>& commands) const {
+  for (const auto& task : machine.unassigned_tasks) {
+    if (commands.size() >= constants::kMaxCommandsPerResponse) return;
+    if (task.state != wire::TaskState::exited) {
+      commands.push_back({CommandKind::stop, task.task, task.attempt, 0});
+    } else if (may_acknowledge(task)) {
+      commands.push_back({CommandKind::acknowledge, task.task, task.attempt, 0});
+      machine.acknowledged_exits.push_back({task.task, task.attempt});
+    }
+  }
+}
+
+void WorkerCommands::add_commands_for_assigned(Machine& machine, bool allow_starts,
+                                               std::vector<Command>& commands) const {
+  const bool starts =
+      allow_starts && !machine.draining && !machine.terminates_at && !machine.scale_in_requested;
+  for (const auto& task : machine.assignments) {
+    if (commands.size() >= constants::kMaxCommandsPerResponse) return;
+    TaskAssignment& assignment = task.assignment();
+    const wire::TaskId id{task.job->spec.id, task.index};
+    if (assignment.stopping) {
+      commands.push_back({CommandKind::stop, id, assignment.attempt, assignment.grace_s});
+    } else if (starts && assignment.never_dispatched() && task.job->assignment_durable(task.index)) {
+      commands.push_back({CommandKind::start, id, assignment.attempt, 0});
+      assignment.dispatched = true;
+      assignment.dispatched_incarnation = machine.incarnation;
+    }
+  }
+}
+
+bool WorkerCommands::may_acknowledge(const wire::ReportedTask& task) const {
+  if (task.cause != wire::ExitCause::done) return true;
+  const Job* job = state_.find_job(task.task.job);
+  return !job || job->cancelled || task.task.index >= job->spec.task_count ||
+         job->result_durable(task.task.index);
+}
+
+// ---- Responses --------------------------------------------------------------------------------------------
+
+bool WorkerCommands::awaits_response(const wire::Heartbeat& heartbeat) const {
+  const Machine* machine = state_.find_machine(heartbeat.machine);
+  return machine && machine->response_pending && machine->incarnation == heartbeat.incarnation &&
+         machine->sequence_number == heartbeat.sequence_number;
+}
+
+void WorkerCommands::response_sent(const MachineId& id, Time now) {
+  if (Machine* machine = state_.find_machine(id)) state_.response_sent(*machine, now);
+}
+
+bool WorkerCommands::has_lasting_capacity(const Machine& machine, Time now) const {
+  const auto free = constraints_.free_capacity(machine);
+  if (!constraints_.accepts_work(machine, now) || !queue_.tiers().smallest_task().fits_into(free))
+    return false;
+  // While its response is held, a worker can't report that a task has ended.
+  return std::none_of(
+      machine.assignments.begin(), machine.assignments.end(), [now](const AssignedTask& task) {
+        const TaskAssignment& assignment = task.assignment();
+        if (assignment.stopping) return true;
+        if (task.job->spec.kind == wire::JobKind::service) return false;
+        return assignment.ran_s(now) > constants::kHoldProgressThreshold * task.job->expected_run_s;
+      });
+}
+
+ResponseHold WorkerCommands::response_hold(const MachineId& id, Time now) const {
+  const Machine* machine = state_.find_machine(id);
+  if (!machine || !state_.loaded() || !machine->token_acknowledged) return ResponseHold::none;
+  bool commands_ready = false;
+  for (const auto& task : machine->unassigned_tasks) {
+    if (!may_acknowledge(task)) return ResponseHold::awaiting_write;
+    commands_ready = true;
+  }
+  for (const auto& task : machine->assignments) {
+    const TaskAssignment& assignment = task.assignment();
+    const bool never_dispatched = assignment.never_dispatched();
+    if (never_dispatched && !assignment.stopping && !task.job->gang.aborted &&
+        !task.job->assignment_durable(task.index))
+      return ResponseHold::awaiting_write;
+    commands_ready = commands_ready || never_dispatched || assignment.stopping;
+  }
+  if (commands_ready) return ResponseHold::none;
+  const bool may_take_work = machine->assignments.empty() || has_lasting_capacity(*machine, now);
+  return may_take_work ? ResponseHold::awaiting_work : ResponseHold::none;
+}
+
+}  // namespace dockdyke::core
--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/cluster.hpp"
+#include "core/leader_state_machine.hpp"
 
 namespace dockdyke::testing {
 
@@ -176,7 +176,7 @@
   }
 
   Time now = 1;
-  Cluster cluster;
+  LeaderStateMachine cluster;
   bool store_answers = true;
   std::uint64_t inherited_pages = 0;
   std::vector<StateWrite> saves;
--- a/tests/gang_capacity_reserve_test.cpp
+++ b/tests/gang_capacity_reserve_test.cpp
@@ -28,14 +28,14 @@
 
 TEST(GangCapacityReserve, GrowsWithTheRootOfWhatCameAndEndsWhenNothingComes) {
   GangCapacityReserve reserve;
-  EXPECT_TRUE(reserve.wanted(40, 0).empty());
+  EXPECT_TRUE(reserve.expected(40, 0).empty());
   for (int i = 0; i < 9; ++i) reserve.note_arrival(gang_spec("job-1", i == 4 ? 6 : 2), 100 + i);
-  const auto wanted = reserve.wanted(40, 110);
-  ASSERT_EQ(wanted.size(), 1u);
-  EXPECT_EQ(wanted[0].gangs, 3u);
-  EXPECT_EQ(wanted[0].largest.task_count, 6u);
-  EXPECT_EQ(reserve.wanted(40, 200).at(0).gangs, 1u) << "none within the window, some within memory";
-  EXPECT_TRUE(reserve.wanted(40, 109 + constants::kGangArrivalMemory).empty());
+  const auto expected = reserve.expected(40, 110);
+  ASSERT_EQ(expected.size(), 1u);
+  EXPECT_EQ(expected[0].gangs, 3u);
+  EXPECT_EQ(expected[0].largest.task_count, 6u);
+  EXPECT_EQ(reserve.expected(40, 200).at(0).gangs, 1u) << "none within the window, some within memory";
+  EXPECT_TRUE(reserve.expected(40, 109 + constants::kGangArrivalMemory).empty());
 }
 
 class GangReserveTest : public ClusterTest {
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -20,7 +20,7 @@
 
 class GangTest : public ClusterTest {
  protected:
-  using ClusterTest::ClusterTest;
+  explicit GangTest(ClusterConfig config = cluster_config()) : ClusterTest(std::move(config)) {}
 
   // Two ordinary machines, each with room for one task of eight CPUs, that wait for their answers.
   void two_machines() {
@@ -362,11 +362,18 @@
   EXPECT_EQ(count(answer(one), CommandKind::start) + count(answer(two), CommandKind::start), 0u);
 }
 
-TEST_F(GangTest, CountsAgainstItsTeamsLimitAsAWhole) {
-  auto config = cluster_config();
-  config.teams[0].quota.cpus = 12;
-  cluster = Cluster(config, FencingToken(kToken), 0, 0);
-  cluster.apply(MachineTypesChanged{{small_type()}}, now);
+// A team whose quota holds less than a gang of two.
+class GangQuotaTest : public GangTest {
+ protected:
+  static ClusterConfig with_quota() {
+    auto config = cluster_config();
+    config.teams[0].quota.cpus = 12;
+    return config;
+  }
+  GangQuotaTest() : GangTest(with_quota()) {}
+};
+
+TEST_F(GangQuotaTest, CountsAgainstItsTeamsQuotaAsAWhole) {
   two_machines();
   submit(gang_spec("job-1", 2));
   settle();
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -418,7 +418,7 @@
 
 // At 1,750 machines passes over the whole fleet took most of the leader's processor.
 TEST_F(PlacementTest, WorkOfAReportDoesNotGrowWithTheFleet) {
-  Cluster large(cluster_config(), FencingToken(kToken), 0, 0);
+  LeaderStateMachine large(cluster_config(), FencingToken(kToken), 0, 0);
   large.apply(MachineTypesChanged{{small_type()}}, 0);
   large.apply(LoadCompleted{}, 0);
   constexpr int kMachines = 2050;
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -138,8 +138,9 @@
   EXPECT_EQ(stored.size(), 60u);
 }
 
-TEST_F(LowestLimitsTest, EndsThatAreRefusedTogetherAreRecordedOneByOne) {
-  cluster = Cluster(cluster_config(), FencingToken(kToken), 0, 0);
+class UsualLimitsTest : public ClusterTest {};
+
+TEST_F(UsualLimitsTest, EndsThatAreRefusedTogetherAreRecordedOneByOne) {
   for (int i = 0; i < 3; ++i) inherit(job_spec("job-" + std::to_string(i), 1), {{0, 1, {}, true}});
   loaded();
   const auto together = cluster.next_write(now);
