--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -11,6 +11,7 @@
 
 #include "cloud/cloud_client.hpp"
 #include "core/leader_state_machine.hpp"
+#include "core/stored_records.hpp"
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
 #include "store/election.hpp"
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -6,7 +6,8 @@
 #include <variant>
 #include <vector>
 
-#include "core/stored_records.hpp"
+#include "core/job_records.hpp"
+#include "core/task_records.hpp"
 #include "wire/messages.hpp"
 
 namespace dockdyke::core {
--- a/src/core/gang_records.cpp
+++ b/src/core/gang_records.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "constants.hpp"
+#include "core/state_keys.hpp"
 
 namespace dockdyke::core {
 
--- a/src/core/gang_records.hpp
+++ b/src/core/gang_records.hpp
@@ -13,7 +13,7 @@
 
 #include "core/cluster_state.hpp"
 #include "core/effects.hpp"
-#include "core/stored_records.hpp"
+#include "core/task_records.hpp"
 
 namespace dockdyke::core {
 
--- a/src/core/scale_in_requests.cpp
+++ b/src/core/scale_in_requests.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "constants.hpp"
-#include "core/stored_records.hpp"
+#include "core/state_keys.hpp"
 
 namespace dockdyke::core {
 
--- a/src/core/task_lifecycle.cpp
+++ b/src/core/task_lifecycle.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "core/stored_records.hpp"
+#include "core/state_keys.hpp"
 
 namespace dockdyke::core {
 
--- a/src/core/task_log.hpp
+++ b/src/core/task_log.hpp
@@ -16,7 +16,7 @@
 
 #include "core/cluster_state.hpp"
 #include "core/effects.hpp"
-#include "core/stored_records.hpp"
+#include "core/task_records.hpp"
 #include "core/time.hpp"
 
 namespace dockdyke::core {
--- a/src/core/write_queue.cpp
+++ b/src/core/write_queue.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <utility>
 
+#include "core/job_records.hpp"
+#include "core/state_keys.hpp"
+
 namespace dockdyke::core {
 
 WriteQueue::WriteQueue(ClusterState& state, TaskLog& task_log, GangRecords& gang_records)
