--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -1,6 +1,7 @@
 #include "wire/codec.hpp"
 
-#include <cmath>
+#include <cstddef>
+#include <cstdint>
 
 #include "constants.hpp"
 
@@ -8,186 +9,163 @@
 
 namespace {
 
-// Walks over one MessagePack value without building anything. The decoder proper recurses per level and would
-// run out of stack on a body of nested lists, so depth is bounded here first.
+// First bytes of MessagePack's formats. Those below kNil, and from kMinNegativeFixint on, contain a small
+// value or a length; see the masks.
+enum Format : std::uint8_t {
+  kMaxPositiveFixint = 0x7f,
+  kMaxFixmap = 0x8f,
+  kMaxFixarray = 0x9f,
+  kMinFixstr = 0xa0,
+  kMaxFixstr = 0xbf,
+  kNil = 0xc0,
+  kFalse = 0xc2,
+  kTrue = 0xc3,
+  kFloat32 = 0xca,
+  kFloat64 = 0xcb,
+  kUint8 = 0xcc,
+  kUint16 = 0xcd,
+  kUint32 = 0xce,
+  kUint64 = 0xcf,
+  kInt8 = 0xd0,
+  kInt16 = 0xd1,
+  kInt32 = 0xd2,
+  kInt64 = 0xd3,
+  kStr8 = 0xd9,
+  kStr16 = 0xda,
+  kStr32 = 0xdb,
+  kArray16 = 0xdc,
+  kArray32 = 0xdd,
+  kMap16 = 0xde,
+  kMap32 = 0xdf,
+  kMinNegativeFixint = 0xe0,
+};
+constexpr std::uint8_t kFixContainerSizeMask = 0x0f;
+constexpr std::uint8_t kFixstrSizeMask = 0x1f;
+
+// Walks over one MessagePack value without building anything. The library's decoder recurses per level and
+// would overflow the stack on deeply nested lists, so the depth is checked here first.
 class Scanner {
  public:
   explicit Scanner(std::string_view bytes) : bytes_(bytes) {}
 
-  bool whole() { return value(0) && at_ == bytes_.size(); }
+  // Whether the bytes are exactly one value that the protocol allows.
+  bool is_one_value() { return value(0) && remaining() == 0; }
 
  private:
+  std::size_t remaining() const { return bytes_.size() - position_; }
+
+  std::uint8_t next_byte() { return static_cast<std::uint8_t>(bytes_[position_++]); }
+
   bool skip(std::size_t count) {
-    if (count > bytes_.size() - at_) return false;
-    at_ += count;
+    if (count > remaining()) return false;
+    position_ += count;
     return true;
   }
 
-  std::optional<std::size_t> length(int width) {
-    if (static_cast<std::size_t>(width) > bytes_.size() - at_) return std::nullopt;
-    std::size_t out = 0;
-    for (int i = 0; i < width; ++i) out = out << 8 | static_cast<unsigned char>(bytes_[at_++]);
-    return out;
+  // A big-endian length of `width` bytes.
+  std::optional<std::size_t> length(std::size_t width) {
+    if (width > remaining()) return std::nullopt;
+    std::size_t result = 0;
+    for (std::size_t i = 0; i < width; ++i) result = result << 8 | next_byte();
+    return result;
   }
 
-  bool text(int width) {
-    auto size = length(width);
+  bool text(std::size_t length_width) {
+    const auto size = length(length_width);
     return size && skip(*size);
   }
 
-  bool items(std::optional<std::size_t> count, bool map, int depth) {
+  bool array(std::optional<std::size_t> count, int depth) {
     if (!count || depth >= constants::kMaxNestingDepth) return false;
-    for (std::size_t i = 0; i < *count; ++i) {
-      if (map && !key()) return false;
+    for (std::size_t i = 0; i < *count; ++i)
       if (!value(depth + 1)) return false;
-    }
     return true;
   }
 
+  bool map(std::optional<std::size_t> count, int depth) {
+    if (!count || depth >= constants::kMaxNestingDepth) return false;
+    for (std::size_t i = 0; i < *count; ++i)
+      if (!key() || !value(depth + 1)) return false;
+    return true;
+  }
+
+  // Only text may be a key.
   bool key() {
-    if (at_ >= bytes_.size()) return false;
-    auto byte = static_cast<unsigned char>(bytes_[at_]);
-    const bool is_text = (byte >= 0xa0 && byte <= 0xbf) || (byte >= 0xd9 && byte <= 0xdb);
-    return is_text && value(0);
+    if (remaining() == 0) return false;
+    const std::uint8_t format = next_byte();
+    if (format >= kMinFixstr && format <= kMaxFixstr) return skip(format & kFixstrSizeMask);
+    return format >= kStr8 && format <= kStr32 && sized_value(format, 0);
   }
 
   bool value(int depth) {
-    if (at_ >= bytes_.size()) return false;
-    auto byte = static_cast<unsigned char>(bytes_[at_++]);
-    if (byte <= 0x7f || byte >= 0xe0) return true;
-    if (byte <= 0x8f) return items(byte & 0x0f, true, depth);
-    if (byte <= 0x9f) return items(byte & 0x0f, false, depth);
-    if (byte <= 0xbf) return skip(byte & 0x1f);
-    switch (byte) {
-      case 0xc0:
-      case 0xc2:
-      case 0xc3:
+    if (remaining() == 0) return false;
+    const std::uint8_t format = next_byte();
+    if (format <= kMaxPositiveFixint || format >= kMinNegativeFixint) return true;
+    if (format <= kMaxFixmap) return map(format & kFixContainerSizeMask, depth);
+    if (format <= kMaxFixarray) return array(format & kFixContainerSizeMask, depth);
+    if (format <= kMaxFixstr) return skip(format & kFixstrSizeMask);
+    return sized_value(format, depth);
+  }
+
+  // The rest of a value whose first byte only names its format.
+  bool sized_value(std::uint8_t format, int depth) {
+    switch (format) {
+      case kNil:
+      case kFalse:
+      case kTrue:
         return true;
-      case 0xca:
-      case 0xce:
-      case 0xd2:
-        return skip(4);
-      case 0xcb:
-      case 0xcf:
-      case 0xd3:
-        return skip(8);
-      case 0xcc:
-      case 0xd0:
+      case kUint8:
+      case kInt8:
         return skip(1);
-      case 0xcd:
-      case 0xd1:
+      case kUint16:
+      case kInt16:
         return skip(2);
-      case 0xd9:
+      case kFloat32:
+      case kUint32:
+      case kInt32:
+        return skip(4);
+      case kFloat64:
+      case kUint64:
+      case kInt64:
+        return skip(8);
+      case kStr8:
         return text(1);
-      case 0xda:
+      case kStr16:
         return text(2);
-      case 0xdb:
+      case kStr32:
         return text(4);
-      case 0xdc:
-        return items(length(2), false, depth);
-      case 0xdd:
-        return items(length(4), false, depth);
-      case 0xde:
-        return items(length(2), true, depth);
-      case 0xdf:
-        return items(length(4), true, depth);
+      case kArray16:
+        return array(length(2), depth);
+      case kArray32:
+        return array(length(4), depth);
+      case kMap16:
+        return map(length(2), depth);
+      case kMap32:
+        return map(length(4), depth);
       default:
-        return false;  // binary data, extensions and the byte that is never used
+        return false;  // binary data, extensions and the byte that MessagePack never uses
     }
   }
 
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
-template <class T>
-T required(std::optional<T> value, const char* field) {
-  if (!value) throw Malformed(std::string("field missing or invalid: ") + field);
-  return *std::move(value);
-}
-
-template <class T, class Convert>
-std::optional<T> checked(const Json& map, const char* field, Convert convert) {
-  const Json* value = find(map, field);
-  if (!value) return std::nullopt;
-  return required<T>(convert(*value), field);
-}
-
-std::optional<std::string> as_text(const Json& value) {
-  if (!value.is_string()) return std::nullopt;
-  return value.get<std::string>();
-}
-
-std::optional<bool> as_flag(const Json& value) {
-  if (!value.is_boolean()) return std::nullopt;
-  return value.get<bool>();
-}
-
 }  // namespace
 
 std::optional<Json> decode(std::string_view bytes) {
-  if (!Scanner(bytes).whole()) return std::nullopt;
-  auto out = Json::from_msgpack(bytes.begin(), bytes.end(), true, false);
-  if (out.is_discarded()) return std::nullopt;
-  return out;
+  if (!Scanner(bytes).is_one_value()) return std::nullopt;
+  constexpr bool kStrict = true;
+  constexpr bool kAllowExceptions = false;
+  auto value = Json::from_msgpack(bytes.begin(), bytes.end(), kStrict, kAllowExceptions);
+  if (value.is_discarded()) return std::nullopt;
+  return value;
 }
 
 std::string encode(const Json& value) {
-  std::string out;
-  Json::to_msgpack(value, out);
-  return out;
-}
-
-const Json* find(const Json& map, const char* field) {
-  if (!map.is_object()) throw Malformed("not a map");
-  auto found = map.find(field);
-  return found == map.end() || found->is_null() ? nullptr : &*found;
-}
-
-std::optional<std::uint64_t> as_count(const Json& value) {
-  if (value.is_number_unsigned()) return value.get<std::uint64_t>();
-  if (value.is_number_integer()) {
-    auto number = value.get<std::int64_t>();
-    if (number < 0) return std::nullopt;
-    return static_cast<std::uint64_t>(number);
-  }
-  if (!value.is_number_float()) return std::nullopt;
-  double number = value.get<double>();
-  // 2^64 itself is the first value that does not fit; the comparison also turns away NaN.
-  if (!(number >= 0 && number < 18446744073709551616.0) || std::trunc(number) != number) return std::nullopt;
-  return static_cast<std::uint64_t>(number);
-}
-
-std::optional<double> as_amount(const Json& value) {
-  if (!value.is_number()) return std::nullopt;
-  double number = value.get<double>();
-  if (!std::isfinite(number) || number < 0) return std::nullopt;
-  return number;
-}
-
-std::optional<std::string> optional_text(const Json& map, const char* field) {
-  return checked<std::string>(map, field, as_text);
-}
-std::optional<std::uint64_t> optional_count(const Json& map, const char* field) {
-  return checked<std::uint64_t>(map, field, as_count);
-}
-std::optional<double> optional_amount(const Json& map, const char* field) {
-  return checked<double>(map, field, as_amount);
-}
-std::string require_text(const Json& map, const char* field) {
-  return required(optional_text(map, field), field);
-}
-std::uint64_t require_count(const Json& map, const char* field) {
-  return required(optional_count(map, field), field);
-}
-double require_amount(const Json& map, const char* field) {
-  return required(optional_amount(map, field), field);
-}
-bool require_flag(const Json& map, const char* field) {
-  return required(checked<bool>(map, field, as_flag), field);
-}
-bool flag_or(const Json& map, const char* field, bool fallback) {
-  return checked<bool>(map, field, as_flag).value_or(fallback);
+  std::string bytes;
+  Json::to_msgpack(value, bytes);
+  return bytes;
 }
 
 }  // namespace dockdyke::wire
--- a/tests/stored_formats_test.cpp
+++ b/tests/stored_formats_test.cpp
@@ -1,6 +1,6 @@
-// What the version in production stores and says to other controllers, byte for byte as a build of it wrote
-// it (0e9158b2). Both versions serve side by side and on each other's data: the present one must read all of
-// it and, for jobs without gangs, write the same.
+// What the version in production stores and sends to other controllers, byte for byte as a build of it wrote
+// it (0e9158b2). During an upgrade both versions serve side by side and on each other's data: the present one
+// must read all of it and, for jobs without gangs, write the same bytes.
 #include <gtest/gtest.h>
 
 #include "core/stored_records.hpp"
@@ -27,7 +27,8 @@
     "6f6c646572c0a672616d5f6762ca42800000aa73616d655f706c616365c3a57368617065a56261746368a6737072656164c2a673"
     "746f77"
     "5f73ca40800000a7757267656e6379a468696768a57663707573ca41000000";
-const char* const kPage = R"({"job-000412":{"d":"0-1","f":"2/3","p":{"n-000231":"3-4/2","n-000232":"5"}}})";
+const char* const kSegment =
+    R"({"job-000412":{"d":"0-1","f":"2/3","p":{"n-000231":"3-4/2","n-000232":"5"}}})";
 const char* const kCancellation =
     R"({"apply":[{"value":{"done":3,"stage":"cancelled"},"write":"over/job-000412"},)"
     R"({"value":{"at":1790000000123,"cancelled":1790000001000,"spec":{"builds":["g8"],"crew":"vision",)"
@@ -77,18 +78,18 @@
   EXPECT_EQ(core::to_json(record).dump(), text);
 }
 
-TEST(StoredFormats, PageAndItsKey) {
+TEST(StoredFormats, SegmentAndItsKey) {
   const JobId id("job-000412");
-  const core::SegmentRecord page = core::parse_segment(Json::parse(kPage));
+  const core::SegmentRecord segment = core::parse_segment(Json::parse(kSegment));
   const std::vector<core::TaskRecord> expected = {{0, 1, {}, true},
                                                   {1, 1, {}, true},
                                                   {2, 3, {}, false},
                                                   {3, 2, MachineId("n-000231"), false},
                                                   {4, 2, MachineId("n-000231"), false},
                                                   {5, 1, MachineId("n-000232"), false}};
-  ASSERT_TRUE(page.contains(id));
-  EXPECT_EQ(page.at(id), expected);
-  EXPECT_EQ(core::to_json(page).dump(), kPage);
+  ASSERT_TRUE(segment.contains(id));
+  EXPECT_EQ(segment.at(id), expected);
+  EXPECT_EQ(core::to_json(segment).dump(), kSegment);
   EXPECT_EQ(core::key::segment(FencingToken(41), 7), "page/00000000000000000041-00000000000000000007");
 }
 
@@ -102,16 +103,16 @@
   EXPECT_EQ(core::key::kMachineTypes, "types");
 }
 
-TEST(StoredFormats, CancellationAndTheCopyThatStays) {
+TEST(StoredFormats, CancellationAndTheCopyThatItKeeps) {
   const auto txn = core::cancellation(production_job(), Revision(5), 3, 1790000001000, 4096);
   EXPECT_EQ(wire::to_json(txn).dump(), kCancellation);
   const auto copy = core::parse_job_record(Json::parse(kCancellation)["apply"][1]["value"]);
   EXPECT_EQ(copy.cancelled_ms, 1790000001000);
 }
 
-TEST(StoredFormats, RentalsAndReturns) {
-  const std::string rental = R"({"build":"g8","charter":"r-41-1","count":12,"ebbtide":true,"polder":"a"})";
-  EXPECT_EQ(wire::to_json(wire::parse_scale_out_request(Json::parse(rental))).dump(), rental);
+TEST(StoredFormats, ScaleOutAndDeletionRecords) {
+  const std::string scale_out = R"({"build":"g8","charter":"r-41-1","count":12,"ebbtide":true,"polder":"a"})";
+  EXPECT_EQ(wire::to_json(wire::parse_scale_out_request(Json::parse(scale_out))).dump(), scale_out);
   const std::string machines = R"({"dykes":["n-000231","n-000232"]})";
   EXPECT_EQ(wire::machine_names(wire::parse_machine_names(Json::parse(machines))).dump(), machines);
 }
@@ -160,9 +161,10 @@
   EXPECT_EQ(hex(peer::encode(*said)), standing);
 }
 
-// Production reads pages, rentals, returns, jobs and copies by their prefixes, and removes pages that name no
-// job it can read. Records of gangs must be none of these.
-TEST(GangRecords, HaveAPrefixThatProductionNeitherReadsNorRemoves) {
+// The version in production reads segments, scale-out and scale-in records, jobs and their copies by their
+// prefixes, and removes segments that name no job it can read. Records of gangs must have none of these
+// prefixes.
+TEST(GangRecords, HaveAPrefixThatTheVersionInProductionNeitherReadsNorRemoves) {
   const std::string key = core::key::gang_part(JobId("job-1"), 3, 0);
   for (const auto& prefix :
        {core::key::kActivePrefix, core::key::kTerminalPrefix, core::key::kTerminatingPrefix,
@@ -171,7 +173,7 @@
   EXPECT_EQ(key, "gang/job-1/3/0");
 }
 
-TEST(GangRecords, AreReadBackWhateverThePartsTheyTake) {
+TEST(GangRecords, AreReadBackFromHoweverManyParts) {
   std::vector<core::TaskRecord> tasks;
   for (TaskIndex i = 0; i < 900; ++i)
     tasks.push_back({i, 7, MachineId("n-" + std::to_string(100000 + i / 3)), false});
@@ -191,7 +193,7 @@
   EXPECT_EQ(read, tasks);
 }
 
-TEST(GangRecords, ThatAreNoneAreRefused) {
+TEST(GangRecords, WithAnInvalidKeyOrValueAreRefused) {
   const Json value{{"parts", 1}, {"p", {{"n-1", "0-3"}}}};
   EXPECT_NO_THROW(core::parse_gang_part("gang/job-1/3/0", value));
   for (const char* key :
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,25 +1,54 @@
-// Stories about what comes over the wire, whole and broken.
+// Encoding of bodies, and messages that are valid, malformed or from a later version.
 #include <gtest/gtest.h>
 
 #include <limits>
 #include <set>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "cluster_fixture.hpp"
-#include "core/stored_records.hpp"
-#include "net/http_parser.hpp"
-#include "net/http_server.hpp"
-#include "peer/peer.hpp"
 #include "wire/messages.hpp"
 
 namespace dockdyke::testing {
 
-using net::HttpParser;
 using wire::Json;
 
+namespace {
+
 Json submission() {
   return wire::to_json(job_spec("job-000412", 16));
 }
 
+// A heartbeat with the given tasks.
+Json heartbeat_with(Json tasks) {
+  return Json{{"dyke", "n-1"},        {"endpoint", "10.1.0.1:9000"},
+              {"build", "g8"},        {"polder", "a"},
+              {"ebbtide", true},      {"watch", 1},
+              {"tally", 8},           {"warrant", 4},
+              {"warning_s", nullptr}, {"pieces", std::move(tasks)}};
+}
+
+// The error that parsing a body throws.
+template <class Parse>
+wire::Malformed error_of(Parse parse, const Json& body) {
+  try {
+    parse(body);
+  } catch (const wire::Malformed& error) {
+    return error;
+  }
+  return wire::Malformed("no error");
+}
+
+// A submission with one field changed.
+Json submission_with(const char* field, Json value) {
+  auto body = submission();
+  body[field] = std::move(value);
+  return body;
+}
+
+}  // namespace
+
 TEST(Codec, EveryTruncationOfABodyIsRefused) {
   const auto whole = wire::encode(submission());
   ASSERT_TRUE(wire::decode(whole));
@@ -28,19 +57,19 @@
   EXPECT_FALSE(wire::decode(whole + "\x01"));
 }
 
-TEST(Codec, DeepNestingEndsInARefusalNotInACrash) {
+TEST(Codec, DeepNestingIsRefused) {
   EXPECT_FALSE(wire::decode(std::string(60'000, '\x91')));
   EXPECT_FALSE(wire::decode("\xdd\xff\xff\xff\xff"));
 }
 
-TEST(Codec, BinaryDataExtensionsAndOddKeysAreRefused) {
+TEST(Codec, BinaryDataExtensionsAndKeysThatAreNotTextAreRefused) {
   EXPECT_FALSE(wire::decode(std::string("\xc4\x01x", 3)));
   EXPECT_FALSE(wire::decode(std::string("\xd4\x01x", 3)));
   EXPECT_FALSE(wire::decode(std::string("\x81\x01\x02", 3))) << "a key that is no text";
   EXPECT_FALSE(wire::decode("\xc1"));
 }
 
-TEST(Codec, JobSurvivesTheWire) {
+TEST(Codec, JobIsTheSameAfterEncodingAndDecoding) {
   auto spec = job_spec("job-000412", 16);
   spec.machine_types = std::vector<std::string>{"g8"};
   spec.zone = "a";
@@ -50,7 +79,7 @@
   EXPECT_EQ(wire::to_json(wire::parse_job(*body)), wire::to_json(spec));
 }
 
-TEST(Codec, WholeNumbersMayComeAsDecimalsAndDecimalsAsWholeNumbers) {
+TEST(Codec, IntegersMayBeWrittenAsDecimalsAndDecimalsAsIntegers) {
   auto body = submission();
   body["pieces"] = 16.0;
   body["vcpus"] = 8;
@@ -100,7 +129,7 @@
   EXPECT_NO_THROW(wire::parse_job(fine));
 }
 
-TEST(Codec, SubmissionThatLacksAFieldIsRefusedWhicheverItIs) {
+TEST(Codec, SubmissionThatLacksAnyRequiredFieldIsRefused) {
   const std::set<std::string> may_lack = {"builds", "polder", "due_s"};  // those that may be null
   const auto whole = submission();
   ASSERT_GE(whole.size(), 19u);
@@ -123,18 +152,12 @@
   EXPECT_EQ(wire::to_json(spec)["shape"], "group");
 }
 
-// A whole report lost for one word would let the worker's lease run out. The task counts as there, in a state
-// that proves nothing.
-TEST(Codec, ReportWithAnUnknownWordIsReadAndTheTaskCountsAsThere) {
-  Json heartbeat{{"dyke", "n-1"},        {"endpoint", "10.1.0.1:9000"},
-                 {"build", "g8"},        {"polder", "a"},
-                 {"ebbtide", true},      {"watch", 1},
-                 {"tally", 8},           {"warrant", 4},
-                 {"warning_s", nullptr}, {"pieces", Json::array()}};
-  EXPECT_EQ(wire::parse_heartbeat(heartbeat).sequence_number, 8u);
-  const auto only_task = [&](Json task) {
-    heartbeat["pieces"] = Json::array({std::move(task)});
-    return wire::parse_heartbeat(heartbeat).tasks.at(0);
+// If the whole heartbeat were refused because of one unknown value, the worker's lease would expire. The task
+// counts as present, in an unknown state.
+TEST(Codec, HeartbeatWithAnUnknownStateIsReadAndTheTaskCountsAsPresent) {
+  EXPECT_EQ(wire::parse_heartbeat(heartbeat_with(Json::array())).sequence_number, 8u);
+  const auto only_task = [](Json task) {
+    return wire::parse_heartbeat(heartbeat_with(Json::array({std::move(task)}))).tasks.at(0);
   };
   const auto sleeping = only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "sleeping"}});
   EXPECT_EQ(sleeping.state, wire::TaskState::unknown);
@@ -152,94 +175,67 @@
   EXPECT_THROW(only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}}), wire::Malformed);
 }
 
-TEST(Http, RequestIsReadTheSameInAnyPortions) {
-  const std::string bytes =
-      "POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET /healthz HTTP/1.1\r\n\r\n";
-  HttpParser parser(HttpParser::Kind::request, 100);
-  std::vector<net::HttpMessage> got;
-  for (char byte : bytes) {
-    EXPECT_EQ(parser.feed({&byte, 1}), 1u);
-    if (parser.complete()) got.push_back(parser.take());
+TEST(MalformedErrors, NameTheFieldAndWhatIsWrongWithIt) {
+  using wire::Fault;
+  struct Case {
+    const char* field;
+    Json value;
+    Fault fault;
+  };
+  const std::vector<Case> cases = {
+      {"id", "task-1", Fault::invalid_format},  {"id", 7, Fault::wrong_type},
+      {"shape", "pair", Fault::unknown_value},  {"urgency", nullptr, Fault::missing},
+      {"pieces", 100'001, Fault::out_of_range}, {"pieces", 1.5, Fault::out_of_range},
+      {"pieces", "16", Fault::wrong_type},      {"vcpus", 1e10, Fault::out_of_range},
+      {"builds", "g8", Fault::wrong_type},      {"builds", Json::array(), Fault::out_of_range},
+      {"spread", 1, Fault::wrong_type},         {"polder", "", Fault::out_of_range}};
+  for (const auto& [field, value, fault] : cases) {
+    const auto error = error_of(wire::parse_job, submission_with(field, value));
+    EXPECT_EQ(error.field(), field) << value.dump();
+    EXPECT_EQ(error.fault(), fault) << field << " = " << value.dump();
   }
-  ASSERT_EQ(got.size(), 2u);
-  EXPECT_EQ(got[0].body, "hello");
-  EXPECT_EQ(got[1].target, "/healthz");
+  EXPECT_STREQ(error_of(wire::parse_job, submission_with("crew", 7)).what(), "crew: wrong type");
 }
 
-TEST(Http, ChunkedBodyIsPutTogether) {
-  HttpParser parser(HttpParser::Kind::response, 100);
-  parser.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
-  ASSERT_TRUE(parser.complete());
-  EXPECT_EQ(parser.take().body, "abcde");
+TEST(MalformedErrors, NameTheItemOfAList) {
+  const auto bad_type = error_of(wire::parse_job, submission_with("builds", Json::array({"g8", 1})));
+  EXPECT_STREQ(bad_type.what(), "builds[1]: wrong type");
+
+  const Json valid_task{{"piece", "job-1/3"}, {"try", 2}, {"stage", "running"}};
+  auto without_attempt = valid_task;
+  without_attempt.erase("try");
+  const auto missing =
+      error_of(wire::parse_heartbeat, heartbeat_with(Json::array({valid_task, without_attempt})));
+  EXPECT_STREQ(missing.what(), "pieces[1].try: missing");
+  EXPECT_EQ(missing.field(), "pieces[1].try");
+  EXPECT_EQ(missing.fault(), wire::Fault::missing);
+
+  const auto no_map = error_of(wire::parse_heartbeat, heartbeat_with(Json::array({7})));
+  EXPECT_STREQ(no_map.what(), "pieces[0]: not a map");
 }
 
-TEST(Http, BrokenMessagesGetTheRightStatus) {
-  auto error_of = [](const std::string& bytes) {
-    HttpParser parser(HttpParser::Kind::request, 64);
-    parser.feed(bytes);
-    return parser.error();
-  };
-  EXPECT_EQ(error_of("nonsense\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("GET / HTTP/2\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("GET / HTTP/1.1\r\nA b: c\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: -3\r\n\r\n"), 400);
-  EXPECT_EQ(error_of("POST / HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n"), 501);
-  EXPECT_EQ(error_of("POST / HTTP/1.1\r\nContent-Length: 65\r\n\r\n"), 413);
-  EXPECT_EQ(error_of("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n"), 413);
-  EXPECT_EQ(error_of("GET / HTTP/1.1\r\nA: " + std::string(10'000, 'x')), 431);
-  EXPECT_EQ(error_of("GET / HTTP/1.1\r\n\r\n"), 0);
-}
-
-TEST(Http, RefusalTellsWhenToComeBack) {
-  const auto bytes = net::serialize({503, {}, 1}, false);
-  EXPECT_NE(bytes.find("503 Service Unavailable"), std::string::npos);
-  EXPECT_NE(bytes.find("Retry-After: 1\r\n"), std::string::npos);
-  EXPECT_NE(bytes.find("Connection: close\r\n"), std::string::npos);
-}
-
-TEST(Peer, BrokenBytesAreNoMessage) {
-  peer::ForwardedRequest message{peer::RequestKind::cancel, "job-1", "body"};
-  const auto bytes = peer::encode(message);
-  ASSERT_TRUE(peer::decode_forwarded(bytes));
-  EXPECT_EQ(peer::decode_forwarded(bytes)->job, "job-1");
-  for (std::size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_FALSE(peer::decode_forwarded(bytes.substr(0, size))) << size;
-  EXPECT_FALSE(peer::decode_forwarded(std::string(40, '\xff')));
-}
-
-TEST(Records, PageSurvivesTheStore) {
-  SegmentRecord page;
-  page[JobId("job-1")].push_back({41, 7, {}, false});
-  for (TaskIndex i = 0; i < 40; ++i) page[JobId("job-1")].push_back({i, 1, MachineId("n-000001"), false});
-  page[JobId("job-1")].push_back({40, 3, MachineId("n-000001"), false});
-  page[JobId("job-2")] = {{0, 1, {}, true}, {1, 1, {}, true}, {99'999, 1, {}, true}};
-  const auto json = to_json(page);
-  EXPECT_LE(json.dump().size(), 100u) << "neighbours share an entry";
-  EXPECT_TRUE(parse_segment(json) == page);
-  for (const char* bad : {"3-", "5-3", "x", "3,,4", "3/", "0-4294967295"})
-    EXPECT_THROW(parse_segment(Json{{"job-1", {{"d", bad}}}}), wire::Malformed) << bad;
-}
-
-TEST(Records, JobRecordSurvivesTheStore) {
-  const auto back = parse_job_record(to_json(job_record(job_spec("job-1", 100'000))));
-  EXPECT_EQ(back.spec.task_count, 100'000u);
-  EXPECT_EQ(back.spec.id, JobId("job-1"));
-}
-
-TEST(Records, CancellationLeavesACopyUntilTheTasksAreProvedGone) {
-  const auto txn = cancellation(job_record(job_spec("job-1", 1)), Revision(5), 0, 1234, 4096);
-  ASSERT_EQ(txn.puts.size(), 2u);
-  EXPECT_EQ(txn.puts[1].key, key::terminating_job(JobId("job-1")));
-  EXPECT_EQ(txn.preconditions[0].version, Revision(5));
-  EXPECT_EQ(txn.deletions, std::vector<std::string>{key::active_job(JobId("job-1"))});
-  const auto terminating = std::find_if(txn.puts.begin(), txn.puts.end(),
-                                        [](const auto& put) { return put.key == "linger/job-1"; });
-  ASSERT_NE(terminating, txn.puts.end());
-  EXPECT_EQ(parse_job_record(terminating->value).cancelled_ms, 1234)
-      << "a later leader knows how long it has";
+TEST(MalformedErrors, OfABodyThatIsNoMapNameNoField) {
+  const auto error = error_of(wire::parse_heartbeat, Json::array());
+  EXPECT_EQ(error.field(), "");
+  EXPECT_STREQ(error.what(), "not a map");
+}
+
+TEST(CloudMessages, OnlyTheStatedErrorMeansThatThereIsNoCapacity) {
+  EXPECT_TRUE(wire::is_no_capacity_error(Json{{"error", "no capacity"}}));
+  EXPECT_FALSE(wire::is_no_capacity_error(Json{{"error", "trouble"}})) << "an outage";
+  EXPECT_FALSE(wire::is_no_capacity_error(Json::object()));
+  EXPECT_FALSE(wire::is_no_capacity_error(Json("no capacity")));
+}
+
+TEST(RequestPaths, AreThoseOfTheProtocol) {
+  EXPECT_EQ(wire::path::machine_page("", 500), "/machines?page=500");
+  EXPECT_EQ(wire::path::machine_page("n-000230", 500), "/machines?page=500&since=n-000230");
+  EXPECT_EQ(wire::path::key("a/b c%"), "/store/a/b%20c%25");
+  EXPECT_EQ(wire::path::key_page("c/", "", 200), "/store?starts=c/&page=200");
+  EXPECT_EQ(wire::path::key_page("c/", "c/7&", 200), "/store?starts=c/&page=200&since=c/7%26");
+  EXPECT_EQ(wire::path::watch("c/", Revision(431), 10'000), "/watch?starts=c/&since=431&hold_ms=10000");
+  EXPECT_EQ(wire::path::lease(LeaseId(7)), "/holds/7");
+  EXPECT_EQ(wire::path::lease_renewal(LeaseId(7)), "/holds/7/touch");
 }
 
 }  // namespace dockdyke::testing
