--- a/tests/cluster_fixture.hpp
+++ b/tests/cluster_fixture.hpp
@@ -9,6 +9,7 @@
 #include <vector>
 
 #include "core/leader_state_machine.hpp"
+#include "core/stored_records.hpp"
 
 namespace dockdyke::testing {
 
