--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -103,7 +103,8 @@
   // Spot machines cost a fraction, and once they are up the on-demand ones become empty and are returned.
   // Only a load that has lasted counts, as a boot outlasts most single tasks.
   update_on_demand_load();
-  // The memory outlasts the load: alone it went on requesting for two minutes after the last job of a day.
+  // The memory outlasts the load: by itself it went on requesting for two minutes after the last job of a
+  // day.
   const auto& jobs = state_.jobs();
   const bool any_work =
       std::any_of(jobs.begin(), jobs.end(), [](const auto& each) { return each.second.unfinished(); });
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -110,6 +110,7 @@
       add(type, request.zone, request.spot, state_.types()[type].size, request.count);
   }
   std::vector<MachineGroup> groups;
+  groups.reserve(counts.size());
   for (const auto& [key, machines] : counts)
     groups.push_back({key.type, key.zone, key.spot, resources_of(key.free), machines});
   return groups;
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -13,7 +13,7 @@
 bool FailureDetector::lease_expired(const Machine& machine, Time now) const {
   const double lease_s =
       state_.config().worker_lease_s * (1 + 2 * constants::kMaxClockDrift) + constants::kLeaseExpiryMargin;
-  // Only a worker that has shown this leader's token is known to live on its responses alone; one that an
+  // Only a worker that has shown this leader's token is known to live on its responses only; one that an
   // earlier leader may still keep alive is waited for or deleted.
   return machine.token_acknowledged &&
          now - std::max(machine.last_response_at, machine.last_heartbeat_at) > lease_s;
--- a/src/core/failure_detector.hpp
+++ b/src/core/failure_detector.hpp
@@ -24,7 +24,7 @@
   std::vector<MachineId> machines_to_delete(Time now) const;
 
  private:
-  // The worker's lease has expired on responses of this leader alone.
+  // The worker's lease has expired on responses of this leader only.
   bool lease_expired(const Machine& machine, Time now) const;
   bool boot_failed(const Machine& machine, Time now) const;
   bool unreachable(const Machine& machine, Time now) const;
--- a/src/core/gang_reservations.cpp
+++ b/src/core/gang_reservations.cpp
@@ -125,7 +125,7 @@
         std::count_if(machine.images.begin(), machine.images.end(),
                       [&](const CachedImage& image) { return recent_images.contains(image.name); }));
   };
-  // Those that have the most images first: a fetch alone may take longer than a quick start.
+  // Those that have the most images first: a single fetch may take longer than a quick start.
   struct Candidate {
     Machine* machine = nullptr;
     std::size_t images = 0;
--- a/src/core/machine_health.cpp
+++ b/src/core/machine_health.cpp
@@ -100,7 +100,7 @@
     const auto& spec = task.job->spec;
     TaskAssignment& assignment = task.assignment();
     if (assignment.stopping || assignment.attempt > 1 || spec.kind != wire::JobKind::array) continue;
-    // A task that is nearly through even so is better left alone; one that saves checkpoints loses little.
+    // A task that is nearly through even so had better go on; one that saves checkpoints loses little.
     const bool far_from_done =
         assignment.ran_s(now) < constants::kCertainStragglerFactor * task.job->mean_run_s();
     if (spec.checkpoint_interval_s > 0 || far_from_done) assignment.stop(spec.checkpoint_duration_s);
--- a/src/core/offering_selector.cpp
+++ b/src/core/offering_selector.cpp
@@ -14,33 +14,36 @@
     : state_(state), constraints_(constraints), scale_out_(scale_out) {}
 
 std::optional<InstanceOffering> OfferingSelector::select(const OfferingRequest& request, Time now) const {
-  using Rank = std::pair<double, std::size_t>;  // price, and machines in the zone
-  std::optional<InstanceOffering> best;
-  Rank best_rank;
-  const Job& job = request.job;
-  const auto& types = state_.types();
-  for (std::size_t number = 0; number < types.size(); ++number) {
-    const auto& type = types[number];
-    if (!job.compatible_with(number) || request.avoided_types.contains(number)) continue;
-    const auto fit = tasks_fitting(job.spec.task_resources, type.size);
-    const double machines = std::ceil(static_cast<double>(request.tasks) / static_cast<double>(fit));
-    for (const auto& zone : type.zones) {
+  std::optional<RankedOffering> best;
+  for (std::size_t number = 0; number < state_.types().size(); ++number) {
+    if (!request.job.compatible_with(number) || request.avoided_types.contains(number)) continue;
+    for (const auto& zone : state_.types()[number].zones) {
       if (!has_zone_capacity(request.zones, zone)) continue;
-      const auto in_zone = request.machines_by_zone.find(zone);
       for (const bool spot : {true, false}) {
-        if (!constraints_.allowed_on(job, number, zone, spot) || (!spot && !request.allow_on_demand))
-          continue;
-        InstanceOffering offering{type.name, zone, spot};
-        if (scale_out_.in_backoff(offering, now)) continue;
-        const double price = (spot ? type.spot_price : type.price) * machines;
-        const Rank rank(price, in_zone == request.machines_by_zone.end() ? 0 : in_zone->second);
-        if (best && rank >= best_rank) continue;
-        best = std::move(offering);
-        best_rank = rank;
+        auto ranked = rank(request, number, zone, spot, now);
+        if (ranked && (!best || ranked->rank() < best->rank())) best = std::move(ranked);
       }
     }
   }
-  return best;
+  return best ? std::optional(std::move(best->offering)) : std::nullopt;
+}
+
+std::optional<OfferingSelector::RankedOffering> OfferingSelector::rank(const OfferingRequest& request,
+                                                                       std::size_t type_number,
+                                                                       const std::string& zone, bool spot,
+                                                                       Time now) const {
+  if (!spot && !request.allow_on_demand) return std::nullopt;
+  if (!constraints_.allowed_on(request.job, type_number, zone, spot)) return std::nullopt;
+  const auto& type = state_.types()[type_number];
+  RankedOffering out;
+  out.offering = {type.name, zone, spot};
+  if (scale_out_.in_backoff(out.offering, now)) return std::nullopt;
+  const auto fit = tasks_fitting(request.job.spec.task_resources, type.size);
+  const double machines = std::ceil(static_cast<double>(request.tasks) / static_cast<double>(fit));
+  out.price = (spot ? type.spot_price : type.price) * machines;
+  const auto in_zone = request.machines_by_zone.find(zone);
+  if (in_zone != request.machines_by_zone.end()) out.machines_in_zone = in_zone->second;
+  return out;
 }
 
 bool OfferingSelector::needs_on_demand(const QueuedJob& queued, Time now) const {
--- a/src/core/offering_selector.hpp
+++ b/src/core/offering_selector.hpp
@@ -6,6 +6,7 @@
 #include <optional>
 #include <set>
 #include <string>
+#include <utility>
 
 #include "core/cluster_state.hpp"
 #include "core/job_queue.hpp"
@@ -37,6 +38,19 @@
   bool needs_on_demand(const QueuedJob& queued, Time now) const;
 
  private:
+  struct RankedOffering {
+    InstanceOffering offering;
+    double price = 0;  // per hour, of all the machines
+    std::size_t machines_in_zone = 0;
+
+    // Smaller is better.
+    std::pair<double, std::size_t> rank() const { return {price, machines_in_zone}; }
+  };
+
+  // Nothing where the job does not allow the offering or it was refused lately.
+  std::optional<RankedOffering> rank(const OfferingRequest& request, std::size_t type_number,
+                                     const std::string& zone, bool spot, Time now) const;
+
   const ClusterState& state_;
   const SchedulingConstraints& constraints_;
   const ScaleOutRequests& scale_out_;
--- a/src/core/reconciler.cpp
+++ b/src/core/reconciler.cpp
@@ -89,6 +89,18 @@
   retry_lost_starts(machine, lost_starts, now);
 }
 
+namespace {
+
+// The assignment that the reported task is of; nothing where it is another attempt or on another machine.
+TaskAssignment* find_assignment(Job& job, const Machine& machine, const ReportedTask& reported) {
+  auto found = job.assignments.find(reported.task.index);
+  if (found == job.assignments.end()) return nullptr;
+  TaskAssignment& assignment = found->second;
+  return assignment.machine == &machine && assignment.attempt == reported.attempt ? &assignment : nullptr;
+}
+
+}  // namespace
+
 Reconciler::Observation Reconciler::observe_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
                                                   Time now) {
   const auto acknowledged = std::exchange(machine.acknowledged_exits, {});
@@ -99,13 +111,7 @@
   out.response_delivered = !acknowledged.empty();
   for (const auto& reported : heartbeat.tasks) {
     Job* job = state_.find_job(reported.task.job);
-    TaskAssignment* assignment = nullptr;
-    if (job) {
-      auto found = job->assignments.find(reported.task.index);
-      if (found != job->assignments.end() && found->second.machine == &machine &&
-          found->second.attempt == reported.attempt)
-        assignment = &found->second;
-    }
+    TaskAssignment* assignment = job ? find_assignment(*job, machine, reported) : nullptr;
     const bool exited = reported.state == TaskState::exited;
     // Of whatever attempt: a gang that has completed has done so for good.
     if (exited && reported.cause == ExitCause::done && job && job->is_gang())
--- a/src/core/scale_out_requests.cpp
+++ b/src/core/scale_out_requests.cpp
@@ -13,7 +13,7 @@
 
 void ScaleOutRequests::request(const InstanceOffering& offering, std::size_t count, Time now) {
   wire::ScaleOutRequest request;
-  // The token is this leadership's alone, so the name was never used before and never will be.
+  // No other leadership has this token, so the name was never used before and never will be.
   request.id = ScaleOutId("r-" + std::to_string(token_.value) + "-" + std::to_string(next_number_++));
   request.type = offering.type;
   request.zone = offering.zone;
--- a/src/core/scarce_types.hpp
+++ b/src/core/scarce_types.hpp
@@ -1,5 +1,5 @@
 // Machine types that some waiting job cannot do without while none can be rented. Jobs with another choice
-// leave them alone: small tasks strewn over the machines that large ones need keep these out for as long as
+// keep off them: small tasks strewn over the machines that large ones need keep these out for as long as
 // any runs.
 #pragma once
 
@@ -18,7 +18,7 @@
   ScarceTypes(const ClusterState& state, JobQueue& queue, const OfferingSelector& selector);
 
   void update(Time now);
-  // Numbers of the types that this job leaves alone. Empty where it has no other choice, or no time to wait
+  // Numbers of the types that this job keeps off. Empty where it has no other choice, or no time to wait
   // for another type to boot.
   std::set<std::size_t> avoided_by(const QueuedJob& queued, Time now) const;
 
--- /dev/null
+++ b/src/core/task_fit.cpp
@@ -0,0 +1,22 @@
+#include "core/task_fit.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+#include "constants.hpp"
+
+namespace dockdyke::core {
+
+std::size_t tasks_fitting(const wire::Resources& task, const wire::Resources& free) {
+  constexpr double kRounding = 1e-6;
+  double count = constants::kMaxDemandTasks;
+  const auto bound = [&](double needed, double available) {
+    if (needed > 0) count = std::min(count, std::floor(std::max(0.0, available + kRounding) / needed));
+  };
+  bound(task.cpus, free.cpus);
+  bound(task.gpus, free.gpus);
+  bound(task.memory_gb, free.memory_gb);
+  return static_cast<std::size_t>(count);
+}
+
+}  // namespace dockdyke::core
--- /dev/null
+++ b/tests/job_queue_test.cpp
@@ -0,0 +1,93 @@
+// The order in which waiting jobs are served, by the queue and the state it reads.
+#include "core/job_queue.hpp"
+
+#include <gtest/gtest.h>
+
+#include "cluster_fixture.hpp"
+#include "constants.hpp"
+
+namespace dockdyke::testing {
+
+class JobQueueTest : public ::testing::Test {
+ protected:
+  static ClusterConfig with_fair_share() {
+    auto config = cluster_config();
+    config.teams[1].guaranteed_share.cpus = 8;
+    return config;
+  }
+
+  JobQueueTest() { state.update_types({small_type()}); }
+
+  Job& add(const std::string& id, Time submitted, wire::Priority priority = wire::Priority::normal,
+           const std::string& team = "team") {
+    auto spec = job_spec(id, 2);
+    spec.priority = priority;
+    spec.team = team;
+    Job& job = state.add_job(spec, Revision(1), submitted, now);
+    queue.invalidate();
+    return job;
+  }
+  std::vector<std::string> order() {
+    std::vector<std::string> ids;
+    for (const auto& queued : queue.ordered(now)) ids.push_back(queued.job->spec.id.value);
+    return ids;
+  }
+
+  Time now = 50;
+  ClusterState state{with_fair_share(), FencingToken(7)};
+  SchedulingConstraints constraints{state};
+  RunTimeEstimator estimator;
+  JobQueue queue{state, constraints, estimator};
+};
+
+TEST_F(JobQueueTest, OrdersByPriorityThenByTheFirstObjective) {
+  add("job-1", 20);
+  add("job-2", 10);
+  add("job-3", 30, wire::Priority::high);
+  EXPECT_EQ(order(), (std::vector<std::string>{"job-3", "job-2", "job-1"}));
+}
+
+TEST_F(JobQueueTest, PutsStarvingJobsFirstWhateverTheirPriority) {
+  add("job-1", 40, wire::Priority::critical);
+  add("job-2", now - constants::kStarvationThreshold, wire::Priority::low);
+  EXPECT_EQ(order(), (std::vector<std::string>{"job-2", "job-1"}));
+}
+
+TEST_F(JobQueueTest, PutsJobsWithinTheirTeamsFairShareBeforeOthers) {
+  add("job-1", 10, wire::Priority::high);
+  const Job& first = add("job-2", 20, wire::Priority::low, "other");  // 8 CPUs: all of the share
+  const Job& second = add("job-3", 30, wire::Priority::low, "other");
+  EXPECT_EQ(order(), (std::vector<std::string>{"job-2", "job-1", "job-3"}));
+  EXPECT_TRUE(queue.within_fair_share(first));
+  EXPECT_FALSE(queue.within_fair_share(second));
+}
+
+TEST_F(JobQueueTest, LeavesOutJobsThatWaitForNothing) {
+  add("job-1", 10);
+  Job& assigned = add("job-2", 20);
+  assigned.next_unattempted = assigned.spec.task_count;
+  Job& cancelled = add("job-3", 30);
+  cancelled.cancelled = true;
+  EXPECT_EQ(order(), (std::vector<std::string>{"job-1"}));
+}
+
+TEST_F(JobQueueTest, ForgetsARemovedJobWithoutBeingOrderedAnew) {
+  add("job-1", 10);
+  const Job& removed = add("job-2", 20);
+  ASSERT_EQ(order().size(), 2u);
+  queue.remove(removed);
+  state.remove_job(JobId("job-2"), now);
+  EXPECT_EQ(order(), (std::vector<std::string>{"job-1"}));
+}
+
+TEST_F(JobQueueTest, OrdersALongQueueOnlyOnceInAnInterval) {
+  for (std::size_t i = 0; i < constants::kSmallQueueSize; ++i) add("job-" + std::to_string(100 + i), 10);
+  ASSERT_EQ(order().size(), constants::kSmallQueueSize);
+  add("job-1", 10);
+  EXPECT_EQ(order().size(), constants::kSmallQueueSize) << "the order is not old enough";
+  EXPECT_TRUE(queue.stale());
+  now += constants::kQueueOrderInterval;
+  EXPECT_EQ(order().size(), constants::kSmallQueueSize + 1);
+}
+
+}  // namespace dockdyke::testing
--- /dev/null
+++ b/tests/scale_requests_test.cpp
@@ -0,0 +1,95 @@
+// Requests for more machines and for the return of machines.
+#include <gtest/gtest.h>
+
+#include "cluster_fixture.hpp"
+#include "constants.hpp"
+#include "core/scale_in_requests.hpp"
+#include "core/scale_out_requests.hpp"
+
+namespace dockdyke::testing {
+
+namespace {
+
+template <class Kind>
+std::vector<Kind> taken(EffectQueue& effects) {
+  std::vector<Kind> out;
+  for (auto& effect : effects.take())
+    if (auto* each = std::get_if<Kind>(&effect)) out.push_back(std::move(*each));
+  return out;
+}
+
+}  // namespace
+
+class ScaleOutRequestsTest : public ::testing::Test {
+ protected:
+  ScaleOutId request(std::size_t count) {
+    scale_out.request(offering, count, now);
+    return taken<RequestScaleOut>(effects).at(0).request.id;
+  }
+
+  Time now = 5;
+  const InstanceOffering offering{"small", "a", true};
+  EffectQueue effects;
+  ScaleOutRequests scale_out{FencingToken(7), effects};
+};
+
+TEST_F(ScaleOutRequestsTest, NamesHoldTheTokenAndAreNeverReused) {
+  EXPECT_EQ(request(1), ScaleOutId("r-7-1"));
+  EXPECT_EQ(request(1), ScaleOutId("r-7-2"));
+  scale_out.refused(ScaleOutId("r-7-2"), now);
+  EXPECT_EQ(request(1), ScaleOutId("r-7-3"));
+}
+
+TEST_F(ScaleOutRequestsTest, RefusalsBackOffDoublingUpToABound) {
+  double expected_s = constants::kOfferingBackoffInitial;
+  for (int i = 0; i < 6; ++i) {
+    scale_out.refused(request(1), now);
+    EXPECT_TRUE(scale_out.in_backoff(offering, now + expected_s - 0.1)) << "refusal " << i;
+    EXPECT_FALSE(scale_out.in_backoff(offering, now + expected_s)) << "refusal " << i;
+    expected_s = std::min(constants::kOfferingBackoffMax, 2 * expected_s);
+  }
+  EXPECT_EQ(scale_out.pending_machines(), 0u);
+}
+
+TEST_F(ScaleOutRequestsTest, AnOfferingThatWasFilledOnlyPartlyBacksOffAndAFilledOneDoesNot) {
+  ASSERT_TRUE(scale_out.granted(request(4), 3, now));
+  EXPECT_TRUE(scale_out.in_backoff(offering, now));
+  ASSERT_TRUE(scale_out.granted(request(4), 4, now));
+  EXPECT_FALSE(scale_out.in_backoff(offering, now));
+  EXPECT_FALSE(scale_out.granted(ScaleOutId("r-7-1"), 4, now)) << "answered already";
+}
+
+TEST_F(ScaleOutRequestsTest, ARequestOfAnEarlierLeaderIsRepeatedUnderItsName) {
+  const wire::ScaleOutRequest earlier{ScaleOutId("r-3-9"), "small", "b", false, 6};
+  scale_out.adopt(earlier, now);
+  const auto repeated = taken<RequestScaleOut>(effects);
+  ASSERT_EQ(repeated.size(), 1u);
+  EXPECT_EQ(repeated[0].request.id, earlier.id);
+  EXPECT_TRUE(repeated[0].recorded);
+  EXPECT_EQ(scale_out.pending_machines(), 6u);
+}
+
+TEST(ScaleInRequests, AreSplitByTheLimitOfADeletionAndBytesOfAValue) {
+  auto config = cluster_config();
+  config.max_value_bytes = 64;
+  ClusterState state(config, FencingToken(7));
+  EffectQueue effects;
+  ScaleInRequests scale_in(state, effects);
+  std::vector<MachineId> machines;
+  for (int i = 0; i < 7; ++i) machines.emplace_back("n-00000" + std::to_string(i));
+  for (const auto& id : machines) state.find_or_add_machine(id, 0);
+  scale_in.request(machines);
+  std::vector<MachineId> requested;
+  std::set<std::string> keys;
+  for (const auto& each : taken<RequestScaleIn>(effects)) {
+    EXPECT_LE(wire::machine_names(each.machines).dump().size(), config.max_value_bytes);
+    requested.insert(requested.end(), each.machines.begin(), each.machines.end());
+    keys.insert(each.key);
+    EXPECT_FALSE(each.recorded);
+  }
+  EXPECT_EQ(requested, machines);
+  EXPECT_GT(keys.size(), 1u) << "each under a key of its own";
+  for (const auto& id : machines) EXPECT_TRUE(state.find_machine(id)->scale_in_requested);
+}
+
+}  // namespace dockdyke::testing
