--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,58 +1,64 @@
-// One controller: its servers, its part in the election, and the term it holds while it leads.
+// One controller of a deployment: builds its parts, serves its two ports and follows the election.
 #pragma once
 
+#include <cstddef>
 #include <memory>
 #include <optional>
 #include <string>
-#include <vector>
 
-#include "app/heartbeat_counter.hpp"
-#include "app/job_request_handler.hpp"
-#include "app/leader_term.hpp"
+#include "app/cancellation_handler.hpp"
+#include "app/job_feasibility.hpp"
+#include "app/job_reader.hpp"
+#include "app/job_status_reader.hpp"
+#include "app/leader_forwarder.hpp"
+#include "app/leadership_state.hpp"
+#include "app/machine_type_catalog.hpp"
+#include "app/machine_type_refresher.hpp"
+#include "app/peer_monitor.hpp"
+#include "app/peer_notifier.hpp"
+#include "app/peer_routes.hpp"
+#include "app/rate_share_manager.hpp"
 #include "app/settings.hpp"
+#include "app/status_poll_handler.hpp"
+#include "app/submission_handler.hpp"
+#include "app/terminal_job_cache.hpp"
+#include "app/user_routes.hpp"
+#include "app/worker_routes.hpp"
 #include "cloud/cloud_client.hpp"
 #include "net/http_client.hpp"
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
-#include "peer/peer.hpp"
 #include "store/election.hpp"
 #include "store/state_client.hpp"
 
 namespace dockdyke::app {
 
+// Its coroutines are detached and refer to it: it lives as long as the loop runs.
 class Controller {
  public:
   Controller(net::Loop& loop, net::Transport& transport, Settings settings);
 
-  // Starts the loops and, unless a test calls the handlers itself, the servers.
+  // Starts the background tasks and, unless a test calls the handlers itself, the servers.
   void start(bool serve = true);
 
+  // The port of users and workers.
   net::Task<net::HttpResponse> handle_public(net::HttpMessage request);
+  // The port of the peers.
   net::Task<net::HttpResponse> handle_internal(net::HttpMessage request);
-  bool leading() const { return term_ != nullptr; }
-  const std::optional<std::string>& leader() const { return leader_; }
+
+  bool leading() const { return leadership_.leading(); }
+  // The leader's host name; nothing when it is unknown.
+  const std::optional<std::string>& leader() const { return leadership_.leader_host(); }
 
  private:
-  net::Task<net::HttpResponse> handle_job_request(const net::HttpMessage& request);
-  net::Task<net::HttpResponse> handle_report(const net::HttpMessage& request);
-  std::optional<net::Address> leader_address() const;
-  net::Task<std::optional<net::HttpResponse>> forward_to_leader(peer::ForwardedRequest request);
-  net::Task<std::optional<std::vector<peer::PolledJobStatus>>> poll_leader(std::vector<JobId> ids);
-  // The cancellation is on record.
-  void cancelled(const JobId& id);
-  net::Task<void> refresh_machine_types();
-  net::Task<void> monitor_peers();
-  // A leader cut off from its workers gives the lead to a controller to which they have turned.
-  net::Task<void> transfer_leadership_if_workers_unreachable();
+  store::Election::Listener election_listener();
+  void begin_term(store::Leadership leadership, net::TimePoint asked_at);
+  void end_term();
+  void start_servers();
   net::Task<void> log_user_requests();
-  void adopt_machine_types(std::vector<wire::MachineType> types);
-  void apply_rate_shares();
-  // The leader's books keep to the lower rate once it is in force.
-  void notify_term_of_write_limit();
-  bool healthy() const;
-  // For users and workers.
-  std::size_t public_connections() const;
-  // Answers to workers that may wait for work at the same time.
+  // Connections for users and workers.
+  std::size_t max_public_connections() const;
+  // Responses to workers that may be held at the same time.
   std::size_t max_held_responses() const;
 
   net::Loop& loop_;
@@ -60,17 +66,28 @@
   Settings settings_;
   store::StateClient state_;
   cloud::CloudClient cloud_;
-  JobRequestHandler job_requests_;
+
+  LeadershipState leadership_;
+  PeerNotifier peer_notifier_;
+  RateShareManager rate_shares_;
   store::Election election_;
-  std::shared_ptr<LeaderTerm> term_;
-  std::optional<std::string> leader_;
-  std::uint32_t consecutive_slow_replies_ = 0;  // submissions and cancellations in a row
-  net::TimePoint leader_backoff_until_;
-  HeartbeatCounter recent_heartbeats_;
-  std::vector<wire::MachineType> types_;
-  // While the store does not answer this controller: it answers others; none of them answers either.
-  bool peers_reach_state_ = false;
-  bool isolated_ = false;
+  PeerMonitor peer_monitor_;
+  LeaderForwarder forwarder_;
+
+  MachineTypeCatalog machine_types_;
+  MachineTypeRefresher machine_type_refresher_;
+
+  TerminalJobCache terminal_jobs_;
+  JobReader job_reader_;
+  JobStatusReader job_status_reader_;
+  JobFeasibility feasibility_;
+  SubmissionHandler submissions_;
+  StatusPollHandler polls_;
+  CancellationHandler cancellations_;
+
+  UserRoutes user_routes_;
+  WorkerRoutes worker_routes_;
+  PeerRoutes peer_routes_;
   std::unique_ptr<net::HttpServer> public_server_;
   std::unique_ptr<net::HttpServer> internal_server_;
 };
--- a/src/app/heartbeat_counter.hpp
+++ b/src/app/heartbeat_counter.hpp
@@ -1,4 +1,4 @@
-// How many workers' reports came in lately.
+// Counts the heartbeats that arrived in the last seconds.
 #pragma once
 
 #include <array>
@@ -10,16 +10,17 @@
 
 namespace dockdyke::app {
 
+// A ring of one-second slots over constants::kHeartbeatCountWindow seconds.
 class HeartbeatCounter {
  public:
-  void note(net::TimePoint now) {
-    Slot& slot = slots_[place(now)];
+  void record(net::TimePoint now) {
+    Slot& slot = slots_[slot_index(now)];
     if (slot.second != second(now)) slot = {second(now), 0};
     ++slot.count;
   }
 
-  // In this second and the full ones before it.
-  std::uint64_t lately(net::TimePoint now) const {
+  // Heartbeats in the present second and the full ones of the window before it.
+  std::uint64_t recent(net::TimePoint now) const {
     std::uint64_t sum = 0;
     for (const auto& slot : slots_)
       if (second(now) - slot.second < static_cast<std::int64_t>(slots_.size())) sum += slot.count;
@@ -34,7 +35,7 @@
   static std::int64_t second(net::TimePoint now) {
     return std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
   }
-  std::size_t place(net::TimePoint now) const {
+  std::size_t slot_index(net::TimePoint now) const {
     return static_cast<std::size_t>(second(now)) % slots_.size();
   }
 
--- /dev/null
+++ b/src/app/job_feasibility.cpp
@@ -0,0 +1,48 @@
+#include "app/job_feasibility.hpp"
+
+#include <algorithm>
+#include <set>
+#include <string>
+
+namespace dockdyke::app {
+
+JobFeasibility::JobFeasibility(const core::ClusterConfig& config, const MachineTypeCatalog& catalog)
+    : config_(config), catalog_(catalog) {}
+
+bool JobFeasibility::quota_suffices(const wire::JobSpec& spec) const {
+  const auto team = std::find_if(config_.teams.begin(), config_.teams.end(),
+                                 [&](const core::Team& each) { return each.name == spec.team; });
+  if (team == config_.teams.end()) return false;
+  // Tasks of an array may run one after the other; all others have to run together.
+  const auto required = spec.task_resources * (spec.kind == wire::JobKind::array ? 1.0 : spec.task_count);
+  const auto& quota = team->quota;  // 0: no limit
+  if (quota.cpus > 0 && required.cpus > quota.cpus) return false;
+  return quota.gpus <= 0 || required.gpus <= quota.gpus;
+}
+
+std::size_t JobFeasibility::count_possible_zones(const wire::JobSpec& spec) const {
+  const auto& allowed = spec.machine_types;
+  std::set<std::string> zones;
+  for (const auto& type : catalog_.types()) {
+    if (allowed && std::find(allowed->begin(), allowed->end(), type.name) == allowed->end()) continue;
+    if (!spec.task_resources.fits_into(type.size)) continue;
+    for (const auto& zone : type.zones)
+      if (!spec.zone || *spec.zone == zone) zones.insert(zone);
+  }
+  return zones.size();
+}
+
+bool JobFeasibility::can_ever_run(const wire::JobSpec& spec) const {
+  if (!quota_suffices(spec)) return false;
+  const auto zones = count_possible_zones(spec);
+  // At most half of a spread gang's tasks, rounded up, may share a zone.
+  const bool two_zones = spec.kind == wire::JobKind::gang && spec.spread && spec.task_count > 1;
+  return two_zones ? zones > 1 && !spec.same_zone : zones > 0;
+}
+
+void JobFeasibility::drop_unknown_types(wire::JobSpec& spec) const {
+  if (!spec.machine_types) return;
+  std::erase_if(*spec.machine_types, [&](const std::string& name) { return !catalog_.offers(name); });
+}
+
+}  // namespace dockdyke::app
--- a/src/app/latency_histogram.hpp
+++ b/src/app/latency_histogram.hpp
@@ -1,4 +1,4 @@
-// How long answers took, for the log.
+// A histogram of response latencies, for the log.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -8,12 +8,13 @@
 
 namespace dockdyke::app {
 
+// Logarithmic bins between constants::kLatencyMin and kLatencyMax (s); latencies outside fall into two more.
 class LatencyHistogram {
  public:
   void add(double seconds) { counts_(seconds); }
   std::size_t count() const { return static_cast<std::size_t>(boost::histogram::algorithm::sum(counts_)); }
 
-  // The upper edge (s) of the bin below which this share of the answers lies.
+  // The upper edge (s) of the bin in which the quantile `share` (0 to 1) lies; 0 when nothing was added.
   double quantile(double share) const {
     const double wanted = share * boost::histogram::algorithm::sum(counts_);
     double below = 0;
--- /dev/null
+++ b/src/app/leader_forwarder.cpp
@@ -0,0 +1,62 @@
+#include "app/leader_forwarder.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "constants.hpp"
+#include "net/http_status.hpp"
+
+namespace dockdyke::app {
+
+using net::HttpResponse;
+namespace http_status = net::http_status;
+
+LeaderForwarder::LeaderForwarder(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
+                                 const LeadershipState& leadership, const std::vector<PeerController>& peers)
+    : loop_(loop), transport_(transport), state_(state), leadership_(leadership), peers_(peers) {}
+
+std::optional<net::Address> LeaderForwarder::leader_address() const {
+  const auto& host = leadership_.leader_host();
+  if (leadership_.leading() || !host) return std::nullopt;
+  const auto leader = std::find_if(peers_.begin(), peers_.end(), [&](const PeerController& controller) {
+    return controller.host == *host;
+  });
+  if (leader == peers_.end()) return std::nullopt;
+  return leader->address;
+}
+
+void LeaderForwarder::record_outcome(bool responded) {
+  consecutive_timeouts_ = responded ? 0 : consecutive_timeouts_ + 1;
+  if (consecutive_timeouts_ >= constants::kSlowLeaderThreshold)
+    backoff_until_ = loop_.now() + net::seconds(constants::kSlowLeaderBackoff);
+}
+
+net::Task<std::optional<HttpResponse>> LeaderForwarder::forward(peer::ForwardedRequest request) {
+  const auto address = leader_address();
+  if (!address) co_return std::nullopt;
+  // A leader that timed out several times in a row gets no requests for a while: cut off, it would cost every
+  // user the timeout. While this controller's own writes are queued, even a slow leader is the better choice.
+  const bool saturated = state_.write_backlog_s() > constants::kForwardBacklogThreshold;
+  if (!saturated && loop_.now() < backoff_until_) co_return std::nullopt;
+  const double timeout_s = saturated ? constants::kSaturatedForwardTimeout : constants::kForwardTimeout;
+  std::optional<HttpResponse> response =
+      co_await peer::forward(transport_, *address, std::move(request), timeout_s);
+  record_outcome(response.has_value());
+  // What the leader can't take, perhaps because the state service refuses it alone, this controller may be
+  // able to. And what it calls malformed has passed this controller's own check: the leader may be of an
+  // earlier version.
+  if (response &&
+      (response->status == http_status::kServiceUnavailable || response->status == http_status::kBadRequest))
+    co_return std::nullopt;
+  co_return response;
+}
+
+net::Task<std::optional<std::vector<peer::PolledJobStatus>>> LeaderForwarder::poll(std::vector<JobId> ids) {
+  const auto address = leader_address();
+  if (!address) co_return std::nullopt;
+  std::optional<std::vector<peer::PolledJobStatus>> statuses =
+      co_await peer::poll(transport_, *address, std::move(ids));
+  co_return statuses;
+}
+
+}  // namespace dockdyke::app
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -7,7 +7,7 @@
 #include <iterator>
 #include <utility>
 
-#include "app/job_request_handler.hpp"
+#include "app/responses.hpp"
 #include "constants.hpp"
 
 namespace dockdyke::app {
@@ -56,7 +56,7 @@
   return std::min(constants::kLeaderWatchTimeout, max_staleness_s() / constants::kWatchesPerMaxStaleness);
 }
 
-LeaderTerm::HeartbeatSilence LeaderTerm::heartbeat_silence() const {
+HeartbeatSilence LeaderTerm::heartbeat_silence() const {
   HeartbeatSilence out;
   out.any_heartbeat_received = last_heartbeat_at_.has_value();
   out.duration_s =
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "app/heartbeat_silence.hpp"
 #include "cloud/cloud_client.hpp"
 #include "core/cluster.hpp"
 #include "net/http_server.hpp"
@@ -31,7 +32,7 @@
   struct Listener {
     std::function<void()> on_superseded;
     // The job's end is on record.
-    std::function<void(const JobId&, const wire::JobStatus&)> on_completed;
+    std::function<void(const JobId&, const wire::JobStatus&)> on_job_completed;
   };
 
   LeaderTerm(Services services, const core::ClusterConfig& config, store::Leadership leadership,
@@ -42,15 +43,7 @@
   void end();
 
   FencingToken token() const { return cluster_.token(); }
-  void renewed(net::TimePoint asked_at) { renewed_at_ = std::max(renewed_at_, asked_at); }
-  // For how long no worker has been heard, and from when on that is odd for the fleet there is.
-  struct HeartbeatSilence {
-    double duration_s = 0;
-    double threshold_s = 0;
-    std::size_t machines = 0;
-    bool any_heartbeat_received = false;
-    bool anomalous() const { return machines > 0 && duration_s >= threshold_s; }
-  };
+  void lease_renewed(net::TimePoint asked_at) { renewed_at_ = std::max(renewed_at_, asked_at); }
   HeartbeatSilence heartbeat_silence() const;
   // Neither the store nor any other controller answers.
   void set_isolated(bool alone);
--- a/src/app/leader_term_writer.cpp
+++ b/src/app/leader_term_writer.cpp
@@ -71,7 +71,7 @@
     spdlog::debug("event=gang_done id={} attempts={} machines={} placed_after={:.2f} complete_after={:.2f}",
                   id.value, job->gang.attempt, job->gang.machine_count,
                   job->gang.assigned_at - job->submitted, job->gang.started_at - job->submitted);
-  listener_.on_completed(id, {wire::JobState::done, job->done_count, 0});
+  listener_.on_job_completed(id, {wire::JobState::done, job->done_count, 0});
 }
 
 net::Task<void> LeaderTerm::confirm_removal(Self self, JobId id) {
--- /dev/null
+++ b/src/app/peer_monitor.cpp
@@ -0,0 +1,67 @@
+#include "app/peer_monitor.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <optional>
+
+#include "constants.hpp"
+
+namespace dockdyke::app {
+
+PeerMonitor::PeerMonitor(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
+                         store::Election& election, LeadershipState& leadership, const Settings& settings)
+    : loop_(loop),
+      transport_(transport),
+      state_(state),
+      election_(election),
+      leadership_(leadership),
+      peers_(settings.peers),
+      worker_reachability_(transport, election, leadership, settings) {}
+
+net::Task<void> PeerMonitor::run() {
+  for (;;) {
+    co_await loop_.sleep(net::seconds(constants::kPeerStatusInterval));
+    if (state_.unreachable()) {
+      co_await check_peers();
+    } else {
+      state_reachable();
+      co_await worker_reachability_.check();
+    }
+  }
+}
+
+void PeerMonitor::state_reachable() {
+  peer_reaches_state_ = false;
+  isolated_ = false;
+  if (leadership_.leading()) leadership_.term()->set_isolated(false);
+}
+
+net::Task<void> PeerMonitor::check_peers() {
+  bool reaches_state = false;
+  bool any_response = peers_.empty();
+  for (const auto& controller : peers_) {
+    const std::optional<peer::PeerStatus> status =
+        co_await peer::fetch_status(transport_, controller.address);
+    if (!status) continue;
+    any_response = true;
+    reaches_state = reaches_state || status->state_answers;
+    if (status->leading) consider_leader_claim(controller, *status);
+  }
+  peer_reaches_state_ = reaches_state;
+  // With neither the state service nor any peer responding, it is most likely this controller that is
+  // isolated, and another leads by now. Workers that still reach this one would stay here, where nothing new
+  // can start.
+  isolated_ = !any_response;
+  if (leadership_.leading()) leadership_.term()->set_isolated(isolated_);
+}
+
+void PeerMonitor::consider_leader_claim(const PeerController& controller, const peer::PeerStatus& status) {
+  if (leadership_.leading() && status.token > leadership_.term()->token().value) {
+    spdlog::info("event=newer_leader host={} token={}", controller.host, status.token);
+    election_.step_down();
+  }
+  // After step_down this controller is a follower and may adopt the claim.
+  if (!leadership_.leading()) leadership_.set_leader_host(controller.host);
+}
+
+}  // namespace dockdyke::app
--- /dev/null
+++ b/src/app/peer_routes.cpp
@@ -0,0 +1,93 @@
+#include "app/peer_routes.hpp"
+
+#include <optional>
+#include <utility>
+#include <vector>
+
+#include "app/responses.hpp"
+#include "net/http_status.hpp"
+#include "peer/peer.hpp"
+
+namespace dockdyke::app {
+
+using net::HttpMessage;
+using net::HttpResponse;
+namespace http_status = net::http_status;
+
+PeerRoutes::PeerRoutes(const store::StateClient& state, const LeadershipState& leadership,
+                       const WorkerRoutes& workers, RateShareManager& rate_shares,
+                       SubmissionHandler& submissions, StatusPollHandler& polls,
+                       CancellationHandler& cancellations)
+    : state_(state),
+      leadership_(leadership),
+      workers_(workers),
+      rate_shares_(rate_shares),
+      submissions_(submissions),
+      polls_(polls),
+      cancellations_(cancellations) {}
+
+net::Task<HttpResponse> PeerRoutes::handle(const HttpMessage& request) {
+  if (request.method != "POST") co_return empty_response(http_status::kMethodNotAllowed);
+  const auto target = request.path();
+  if (target == peer::kStatusPath) co_return status();
+  if (target == peer::kCancelledPath) co_return job_cancelled(request);
+  if (target == peer::kWriteLimitPath) co_return write_limit_lowered();
+  if (target == peer::kPollPath) {
+    HttpResponse response = co_await poll(request);
+    co_return response;
+  }
+  if (target == peer::kForwardPath) {
+    HttpResponse response = co_await forward(request);
+    co_return response;
+  }
+  co_return empty_response(http_status::kNotFound);
+}
+
+HttpResponse PeerRoutes::status() const {
+  peer::PeerStatus status;
+  status.leading = leadership_.leading();
+  status.token = leadership_.leading() ? leadership_.term()->token().value : 0;
+  status.state_answers = !state_.unreachable();
+  status.workers_heard = workers_.recent_heartbeats();
+  return {http_status::kOk, peer::encode(status), std::nullopt};
+}
+
+net::Task<HttpResponse> PeerRoutes::poll(const HttpMessage& request) {
+  auto names = peer::decode_jobs(request.body);
+  if (!names) co_return empty_response(http_status::kBadRequest);
+  if (!leadership_.leading()) co_return service_unavailable();
+  std::vector<JobId> ids;
+  ids.reserve(names->size());
+  for (auto& name : *names) ids.emplace_back(std::move(name));
+  const std::vector<peer::PolledJobStatus> statuses = co_await polls_.poll_for_peer(std::move(ids));
+  co_return HttpResponse{http_status::kOk, peer::encode(statuses), std::nullopt};
+}
+
+HttpResponse PeerRoutes::job_cancelled(const HttpMessage& request) {
+  auto names = peer::decode_jobs(request.body);
+  if (!names) return empty_response(http_status::kBadRequest);
+  if (leadership_.leading())
+    for (auto& name : *names) leadership_.term()->push(core::JobRecordRemoved{JobId(std::move(name))});
+  return empty_response(http_status::kOk);
+}
+
+HttpResponse PeerRoutes::write_limit_lowered() {
+  rate_shares_.lower_write_limit();
+  return empty_response(http_status::kOk);
+}
+
+net::Task<HttpResponse> PeerRoutes::forward(const HttpMessage& request) {
+  auto forwarded = peer::decode_forwarded(request.body);
+  if (!forwarded) co_return empty_response(http_status::kBadRequest);
+  if (!leadership_.leading())
+    co_return HttpResponse{http_status::kOk, peer::encode(peer::ForwardedResponse{}), std::nullopt};
+  HttpResponse response;
+  if (forwarded->kind == peer::RequestKind::submit) {
+    response = co_await submissions_.submit(std::move(forwarded->body));
+  } else {
+    response = co_await cancellations_.cancel(JobId(std::move(forwarded->job)));
+  }
+  co_return HttpResponse{http_status::kOk, peer::encode(peer::to_answer(response)), std::nullopt};
+}
+
+}  // namespace dockdyke::app
--- a/src/app/poll_batcher.cpp
+++ b/src/app/poll_batcher.cpp
@@ -1,83 +1,89 @@
 #include "app/poll_batcher.hpp"
 
+#include <map>
 #include <set>
 #include <utility>
 
 #include "constants.hpp"
+#include "net/http_status.hpp"
 
 namespace dockdyke::app {
 
 using peer::PolledJobStatus;
+namespace http_status = net::http_status;
 
 namespace {
 
-constexpr int kUnavailable = 503;
+PolledJobStatus unavailable() {
+  return {http_status::kServiceUnavailable, {}};
+}
 
 }  // namespace
 
-PollBatcher::PollBatcher(net::Loop& loop, Sources sources) : loop_(loop), sources_(std::move(sources)) {}
+PollBatcher::PollBatcher(net::Loop& loop, JobStatusSources sources)
+    : loop_(loop), sources_(std::move(sources)) {}
 
-std::optional<PollBatcher::Answer> PollBatcher::enqueue(const JobId& id) {
-  if (questions_.size() >= constants::kPollQueueLimit) return std::nullopt;
-  const Answer answer(loop_);
-  questions_.push_back({id, answer});
-  if (!answering_) net::spawn(answer_batches());
-  return answer;
+std::optional<PollBatcher::PendingStatus> PollBatcher::enqueue(const JobId& id) {
+  if (queue_.size() >= constants::kPollQueueLimit) return std::nullopt;
+  const PendingStatus status(loop_);
+  queue_.push_back({id, status});
+  if (!running_) net::spawn(run_batches());
+  return status;
 }
 
-net::Task<PolledJobStatus> PollBatcher::ask(JobId id, net::Duration patience) {
-  const auto answer = enqueue(id);
-  if (!answer) co_return unknown();
-  const std::optional<PolledJobStatus> polled = co_await answer->wait_until(loop_.now() + patience);
-  co_return polled.value_or(unknown());
+net::Task<PolledJobStatus> PollBatcher::poll(JobId id, net::Duration timeout) {
+  const auto pending = enqueue(id);
+  if (!pending) co_return unavailable();
+  const std::optional<PolledJobStatus> polled = co_await pending->wait_until(loop_.now() + timeout);
+  co_return polled.value_or(unavailable());
 }
 
-net::Task<std::vector<PolledJobStatus>> PollBatcher::ask_all(std::vector<JobId> ids, net::Duration patience) {
-  const auto deadline = loop_.now() + patience;
-  std::vector<std::optional<Answer>> answers;
-  answers.reserve(ids.size());
-  for (const auto& id : ids) answers.push_back(enqueue(id));
-  std::vector<PolledJobStatus> out(ids.size(), unknown());
+net::Task<std::vector<PolledJobStatus>> PollBatcher::poll_all(std::vector<JobId> ids, net::Duration timeout) {
+  const auto deadline = loop_.now() + timeout;
+  std::vector<std::optional<PendingStatus>> pending;
+  pending.reserve(ids.size());
+  for (const auto& id : ids) pending.push_back(enqueue(id));
+  std::vector<PolledJobStatus> statuses(ids.size(), unavailable());
   for (std::size_t i = 0; i < ids.size(); ++i) {
-    if (!answers[i]) continue;
-    const std::optional<PolledJobStatus> polled = co_await answers[i]->wait_until(deadline);
-    out[i] = polled.value_or(unknown());
+    if (!pending[i]) continue;
+    const std::optional<PolledJobStatus> polled = co_await pending[i]->wait_until(deadline);
+    statuses[i] = polled.value_or(unavailable());
   }
-  co_return out;
+  co_return statuses;
 }
 
-net::Task<void> PollBatcher::answer_batches() {
-  answering_ = true;
-  while (!questions_.empty()) {
-    const auto batch = std::exchange(questions_, {});
+net::Task<void> PollBatcher::run_batches() {
+  running_ = true;
+  while (!queue_.empty()) {
+    const auto batch = std::exchange(queue_, {});
     std::set<JobId> distinct;
-    for (const auto& question : batch) distinct.insert(question.id);
+    for (const auto& poll : batch) distinct.insert(poll.id);
     const std::vector<JobId> ids(distinct.begin(), distinct.end());
-    const std::vector<PolledJobStatus> polled = co_await answer_batch(ids);
-    std::map<JobId, PolledJobStatus> found;
-    for (std::size_t i = 0; i < ids.size(); ++i) found.emplace(ids[i], polled[i]);
-    for (const auto& question : batch) question.answer.set(found.at(question.id));
+    const std::vector<PolledJobStatus> polled = co_await read_batch(ids);
+    std::map<JobId, PolledJobStatus> statuses;
+    for (std::size_t i = 0; i < ids.size(); ++i) statuses.emplace(ids[i], polled[i]);
+    for (const auto& poll : batch) poll.status.set(statuses.at(poll.id));
     co_await loop_.sleep(net::seconds(constants::kPollBatchInterval));
   }
-  answering_ = false;
+  running_ = false;
 }
 
-net::Task<std::vector<PolledJobStatus>> PollBatcher::answer_batch(std::vector<JobId> ids) {
-  std::optional<std::vector<PolledJobStatus>> led = co_await sources_.poll_leader(ids);
-  std::vector<PolledJobStatus> out =
-      led ? *std::move(led) : std::vector<PolledJobStatus>(ids.size(), unknown());
-  // Jobs the leader can't tell of are looked up here: the store may refuse the leader alone.
-  std::vector<std::size_t> unclear;
-  std::vector<JobId> unclear_ids;
+net::Task<std::vector<PolledJobStatus>> PollBatcher::read_batch(std::vector<JobId> ids) {
+  std::optional<std::vector<PolledJobStatus>> from_leader = co_await sources_.poll_leader(ids);
+  std::vector<PolledJobStatus> statuses =
+      from_leader ? *std::move(from_leader) : std::vector<PolledJobStatus>(ids.size(), unavailable());
+  // Jobs of which the leader can't tell are read here: the state service may refuse the leader alone.
+  std::vector<std::size_t> positions;
+  std::vector<JobId> remaining_ids;
   for (std::size_t i = 0; i < ids.size(); ++i) {
-    if (out[i].status != kUnavailable) continue;
-    unclear.push_back(i);
-    unclear_ids.push_back(ids[i]);
+    if (statuses[i].status != http_status::kServiceUnavailable) continue;
+    positions.push_back(i);
+    remaining_ids.push_back(ids[i]);
   }
-  if (unclear.empty()) co_return out;
-  const std::vector<PolledJobStatus> looked_up = co_await sources_.read_job_statuses(std::move(unclear_ids));
-  for (std::size_t i = 0; i < unclear.size(); ++i) out[unclear[i]] = looked_up[i];
-  co_return out;
+  if (positions.empty()) co_return statuses;
+  const std::vector<PolledJobStatus> read = co_await sources_.read_job_statuses(std::move(remaining_ids));
+  for (std::size_t i = 0; i < positions.size(); ++i) statuses[positions[i]] = read[i];
+  co_return statuses;
 }
 
 }  // namespace dockdyke::app
--- a/src/app/poll_batcher.hpp
+++ b/src/app/poll_batcher.hpp
@@ -1,13 +1,11 @@
-// Gathers questions about jobs, users' and other controllers', and answers all that have come together at
-// once.
+// Gathers polls of jobs, from users and peers, and answers all that have come together by one reading.
 //
-// One batch is under way at a time. While the state service is slow or its requests are short, the next batch
-// grows instead of a line of small ones: at 4,000 machines five controllers, each with batches of its own,
-// had used up the leader's requests and nearly every question failed.
+// One batch is in flight at a time. While the state service is slow or requests are short, the next batch
+// grows instead of a queue of small ones: at 4,000 machines five controllers, each with batches of its own,
+// had used up the leader's requests and nearly every poll failed.
 #pragma once
 
 #include <functional>
-#include <map>
 #include <optional>
 #include <vector>
 
@@ -18,41 +16,42 @@
 
 namespace dockdyke::app {
 
+// Where statuses come from. Both functions return them in the order of the ids.
+struct JobStatusSources {
+  // The leader; nothing when there is no response in time, or this controller leads.
+  std::function<net::Task<std::optional<std::vector<peer::PolledJobStatus>>>(std::vector<JobId>)> poll_leader;
+  // The state service.
+  std::function<net::Task<std::vector<peer::PolledJobStatus>>(std::vector<JobId>)> read_job_statuses;
+};
+
 class PollBatcher {
  public:
-  struct Sources {
-    // The leader's word on these jobs; nothing when there is none to be had, or this controller leads.
-    std::function<net::Task<std::optional<std::vector<peer::PolledJobStatus>>>(std::vector<JobId>)>
-        poll_leader;
-    // The state service's word.
-    std::function<net::Task<std::vector<peer::PolledJobStatus>>(std::vector<JobId>)> read_job_statuses;
-  };
-
-  PollBatcher(net::Loop& loop, Sources sources);
+  PollBatcher(net::Loop& loop, JobStatusSources sources);
 
-  // The job's state as of a reading made after this call; status 503 where that can't be told in time.
-  net::Task<peer::PolledJobStatus> ask(JobId id, net::Duration patience);
+  // The job's state by a reading that began after this call; status 503 where it can't be told within the
+  // timeout or too many polls are queued.
+  net::Task<peer::PolledJobStatus> poll(JobId id, net::Duration timeout);
   // The same for several jobs, in their order.
-  net::Task<std::vector<peer::PolledJobStatus>> ask_all(std::vector<JobId> ids, net::Duration patience);
+  net::Task<std::vector<peer::PolledJobStatus>> poll_all(std::vector<JobId> ids, net::Duration timeout);
 
  private:
-  using Answer = net::OneShot<peer::PolledJobStatus>;
-  struct Question {
+  using PendingStatus = net::OneShot<peer::PolledJobStatus>;
+  struct PendingPoll {
     JobId id;
-    Answer answer;
+    PendingStatus status;
   };
 
-  // Nothing where the line is full.
-  std::optional<Answer> enqueue(const JobId& id);
-  static peer::PolledJobStatus unknown() { return {503, {}}; }
-  // Answers batch after batch until no question is left.
-  net::Task<void> answer_batches();
-  net::Task<std::vector<peer::PolledJobStatus>> answer_batch(std::vector<JobId> ids);
+  // Nothing where the queue is full.
+  std::optional<PendingStatus> enqueue(const JobId& id);
+  // Answers batch after batch until no poll is queued.
+  net::Task<void> run_batches();
+  // The leader's statuses, and those of the state service for jobs of which the leader can't tell.
+  net::Task<std::vector<peer::PolledJobStatus>> read_batch(std::vector<JobId> ids);
 
   net::Loop& loop_;
-  Sources sources_;
-  std::vector<Question> questions_;
-  bool answering_ = false;
+  JobStatusSources sources_;
+  std::vector<PendingPoll> queue_;
+  bool running_ = false;
 };
 
 }  // namespace dockdyke::app
--- /dev/null
+++ b/src/app/rate_share_manager.cpp
@@ -0,0 +1,43 @@
+#include "app/rate_share_manager.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include "constants.hpp"
+
+namespace dockdyke::app {
+
+RateShareManager::RateShareManager(store::StateClient& state, const LeadershipState& leadership,
+                                   const PeerNotifier& peers, std::size_t peer_count)
+    : state_(state), leadership_(leadership), peers_(peers), peer_count_(peer_count) {
+  state_.on_write_limit_seen([this] { write_limit_seen(); });
+}
+
+void RateShareManager::apply_shares() {
+  if (peer_count_ == 0) {
+    state_.set_shares(1, 1);
+  } else if (leadership_.leading()) {
+    state_.set_shares(constants::kLeaderRateShare, constants::kLeaderRateShare);
+  } else {
+    const auto followers = static_cast<double>(peer_count_);
+    state_.set_shares(constants::kFollowersRequestShare / followers,
+                      constants::kFollowersWriteShare / followers);
+  }
+}
+
+void RateShareManager::update_term_write_rate() {
+  if (leadership_.leading() && state_.write_limit_lowered())
+    leadership_.term()->push(core::WriteRateLowered{state_.write_limit()});
+}
+
+void RateShareManager::lower_write_limit() {
+  state_.lower_write_limit();
+  update_term_write_rate();
+}
+
+void RateShareManager::write_limit_seen() {
+  spdlog::info("event=write_limit_lowered writes_per_second={}", state_.write_limit());
+  update_term_write_rate();
+  peers_.write_limit_lowered();
+}
+
+}  // namespace dockdyke::app
--- a/tests/poll_batcher_test.cpp
+++ b/tests/poll_batcher_test.cpp
@@ -33,9 +33,9 @@
     co_return std::vector<PolledJobStatus>(ids.size(), PolledJobStatus{200, {}});
   }
 
-  net::Task<void> ask_all(std::vector<JobId> ids) {
+  net::Task<void> poll_all(std::vector<JobId> ids) {
     const auto asked_at = loop.now();
-    const std::vector<PolledJobStatus> polled = co_await batcher.ask_all(std::move(ids), net::seconds(2));
+    const std::vector<PolledJobStatus> polled = co_await batcher.poll_all(std::move(ids), net::seconds(2));
     for (const auto& each : polled) {
       answered += each.status == 200;
       refused += each.status == 503;
@@ -68,7 +68,7 @@
   constexpr int kControllers = 5;
   for (int round = 0; round < kRounds; ++round) {
     for (int controller = 0; controller < kControllers; ++controller)
-      net::spawn(ask_all(jobs(10 * controller, 10)));
+      net::spawn(poll_all(jobs(10 * controller, 10)));
     run(0.1);
   }
   run(3);
@@ -77,7 +77,7 @@
 }
 
 TEST_F(PollBatcherTest, AJobThatManyAskAboutIsReadOnce) {
-  for (int i = 0; i < 20; ++i) net::spawn(ask_all(jobs(0, 1)));
+  for (int i = 0; i < 20; ++i) net::spawn(poll_all(jobs(0, 1)));
   run(2);
   EXPECT_EQ(answered, 20u);
   EXPECT_LE(looked_up, 2u) << "the first question goes ahead, the others share the next reading";
@@ -85,14 +85,14 @@
 
 TEST_F(PollBatcherTest, WhatTheLeaderCantTellIsLookedUp) {
   leader_status = 503;
-  net::spawn(ask_all(jobs(0, 3)));
+  net::spawn(poll_all(jobs(0, 3)));
   run(2);
   EXPECT_EQ(answered, 3u);
   EXPECT_EQ(looked_up, 3u);
 }
 
 TEST_F(PollBatcherTest, AFullLineIsRefusedAtOnce) {
-  net::spawn(ask_all(jobs(0, static_cast<int>(constants::kPollQueueLimit) + 10)));
+  net::spawn(poll_all(jobs(0, static_cast<int>(constants::kPollQueueLimit) + 10)));
   run(2);
   EXPECT_GE(refused, 9u);
   EXPECT_GE(answered, constants::kPollQueueLimit);
