--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -61,9 +61,9 @@
   listener.on_job_completed = [this](const JobId& id, const wire::JobStatus& status) {
     terminal_jobs_.insert(id, status);
   };
-  auto term = std::make_shared<LeaderTerm>(
-      LeaderTerm::Services{loop_, state_, cloud_, transport_, max_held_responses()}, settings_.cluster,
-      leadership, asked_at, std::move(listener));
+  auto term =
+      std::make_shared<LeaderTerm>(TermServices{loop_, state_, cloud_, transport_, max_held_responses()},
+                                   settings_.cluster, leadership, asked_at, std::move(listener));
   leadership_.begin_term(term, settings_.host);
   rate_shares_.apply_shares();
   rate_shares_.update_term_write_rate();
--- /dev/null
+++ b/src/app/heartbeat_handler.cpp
@@ -0,0 +1,79 @@
+#include "app/heartbeat_handler.hpp"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "app/responses.hpp"
+#include "constants.hpp"
+#include "net/http_status.hpp"
+
+namespace dockdyke::app {
+
+using core::HeartbeatOutcome;
+using net::HttpResponse;
+
+namespace {
+
+// The main loop applies queued heartbeats within a turn; a longer wait means that the term has ended.
+constexpr double kApplyTimeoutSeconds = 1.0;
+
+}  // namespace
+
+HeartbeatHandler::HeartbeatHandler(TermContext& context, core::Cluster& cluster,
+                                   const ViewFreshness& freshness, ResponseHolds& holds)
+    : context_(context),
+      cluster_(cluster),
+      freshness_(freshness),
+      holds_(holds),
+      elected_at_(context.loop().now()) {}
+
+net::Task<HttpResponse> HeartbeatHandler::handle(wire::Heartbeat heartbeat) {
+  auto& loop = context_.loop();
+  if (!freshness_.may_answer_workers() || queue_.size() >= constants::kHeartbeatQueueLimit)
+    co_return service_unavailable();
+  const net::OneShot<HeartbeatOutcome> pending(loop);
+  queue_.push_back({heartbeat, pending});
+  context_.events().wake();
+  const std::optional<HeartbeatOutcome> outcome =
+      co_await pending.wait_until(loop.now() + net::seconds(kApplyTimeoutSeconds));
+  if (!context_.alive() || outcome != HeartbeatOutcome::accepted) co_return service_unavailable();
+  co_await holds_.wait(heartbeat.machine);
+  // A later heartbeat of the machine means that it no longer waits for this response: the commands would be
+  // lost.
+  if (!context_.alive() || !cluster_.awaits_response(heartbeat)) co_return service_unavailable();
+  const auto commands =
+      cluster_.commands_for(heartbeat.machine, freshness_.may_start_tasks(), context_.now());
+  cluster_.response_sent(heartbeat.machine, context_.now());
+  co_return json_response(net::http_status::kOk, wire::heartbeat_response(context_.token(), commands));
+}
+
+void HeartbeatHandler::apply_queued(core::Time now) {
+  for (const auto& queued : std::exchange(queue_, {})) {
+    const auto outcome = cluster_.apply_heartbeat(queued.heartbeat, now);
+    queued.outcome.set(outcome);
+    if (outcome == HeartbeatOutcome::accepted) last_accepted_at_ = context_.loop().now();
+    if (outcome == HeartbeatOutcome::superseded) {
+      context_.superseded();
+      return;
+    }
+  }
+}
+
+HeartbeatSilence HeartbeatHandler::silence() const {
+  const auto since = last_accepted_at_.value_or(elected_at_);
+  HeartbeatSilence silence;
+  silence.any_heartbeat_received = last_accepted_at_.has_value();
+  silence.duration_s = std::chrono::duration<double>(context_.loop().now() - since).count();
+  silence.threshold_s = constants::kHeartbeatSilenceMin;
+  if (silence.duration_s < silence.threshold_s) return silence;  // no need to count the machines
+  silence.machines = cluster_.machines_up();
+  const double interval_s = context_.config().heartbeat_interval_s;
+  const double round_s = constants::kHeartbeatRoundFactor * interval_s + holds_.idle_hold_s();
+  const double missed_s = constants::kHeartbeatsMissedThreshold * interval_s /
+                          std::max(1.0, static_cast<double>(silence.machines));
+  silence.threshold_s = std::max(silence.threshold_s, std::min(round_s, missed_s));
+  return silence;
+}
+
+}  // namespace dockdyke::app
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -3,232 +3,128 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <chrono>
-#include <iterator>
 #include <utility>
+#include <variant>
 
-#include "app/responses.hpp"
 #include "constants.hpp"
 
 namespace dockdyke::app {
 
-using core::Event;
-using net::HttpResponse;
-using store::Outcome;
-using store::RequestPriority;
-
-namespace {
-
-core::Time seconds_of(net::TimePoint time) {
-  return std::chrono::duration<double>(time.time_since_epoch()).count();
-}
-
-}  // namespace
-
-LeaderTerm::LeaderTerm(Services services, const core::ClusterConfig& config, store::Leadership leadership,
+LeaderTerm::LeaderTerm(TermServices services, const core::ClusterConfig& config, store::Leadership leadership,
                        net::TimePoint asked_at, Listener listener)
-    : services_(services),
-      config_(config),
-      cluster_(config, leadership.token, seconds_of(services.loop.now()), services.loop.time_of_day_ms()),
-      listener_(std::move(listener)),
-      work_(services.loop),
-      renewed_at_(asked_at),
-      watched_at_(asked_at),
-      elected_at_(services.loop.now()) {}
-
-core::Time LeaderTerm::now() const {
-  return seconds_of(services_.loop.now());
-}
-wire::Precondition LeaderTerm::leader_precondition() const {
-  return {store::kLeaderKey, Revision(token().value)};
-}
-
-double LeaderTerm::staleness() const {
-  return std::chrono::duration<double>(services_.loop.now() - std::min(renewed_at_, watched_at_)).count();
-}
-
-double LeaderTerm::max_staleness_s() const {
-  const double spare = std::max(0.0, config_.cancellation_timeout_s - config_.worker_lease_s);
-  return spare - std::min(constants::kCancellationMarginMax, constants::kCancellationMarginShare * spare);
-}
-
-double LeaderTerm::watch_timeout_s() const {
-  return std::min(constants::kLeaderWatchTimeout, max_staleness_s() / constants::kWatchesPerMaxStaleness);
-}
-
-HeartbeatSilence LeaderTerm::heartbeat_silence() const {
-  HeartbeatSilence out;
-  out.any_heartbeat_received = last_heartbeat_at_.has_value();
-  out.duration_s =
-      std::chrono::duration<double>(services_.loop.now() - last_heartbeat_at_.value_or(elected_at_)).count();
-  out.threshold_s = constants::kHeartbeatSilenceMin;
-  if (out.duration_s < out.threshold_s) return out;  // no need to count the machines
-  out.machines = cluster_.machines_up();
-  const double round_s = constants::kHeartbeatRoundFactor * config_.heartbeat_interval_s + idle_hold_s();
-  const double few_s = constants::kHeartbeatsMissedThreshold * config_.heartbeat_interval_s /
-                       std::max(1.0, static_cast<double>(out.machines));
-  out.threshold_s = std::max(out.threshold_s, std::min(round_s, few_s));
-  return out;
-}
-
-double LeaderTerm::idle_hold_s() const {
-  return std::min(constants::kIdleHoldMax, constants::kIdleHoldShare * config_.heartbeat_interval_s);
-}
-
-void LeaderTerm::set_isolated(bool alone) {
-  if (!alone) {
-    isolated_since_.reset();
-  } else if (!isolated_since_) {
-    isolated_since_ = services_.loop.now();
-  }
-}
+    : context_(services, config, leadership.token, std::move(listener.on_superseded)),
+      cluster_(config, leadership.token, context_.now(), services.loop.time_of_day_ms()),
+      freshness_(services.loop, config, asked_at),
+      holds_(context_, cluster_, services.max_held_responses),
+      heartbeats_(context_, cluster_, freshness_, holds_),
+      guarded_writer_(context_),
+      key_deleter_(context_, guarded_writer_),
+      state_writer_(context_, cluster_, std::move(listener.on_job_completed)),
+      effects_(context_, guarded_writer_, key_deleter_),
+      loader_(context_),
+      watcher_(context_, cluster_, freshness_) {}
 
 void LeaderTerm::start(const std::vector<wire::MachineType>& types) {
+  context_.set_owner(weak_from_this());
   if (!types.empty()) push(core::MachineTypesChanged{types});
-  net::spawn(run(shared_from_this()));
-  net::spawn(load(shared_from_this()));
-  net::spawn(refresh_machine_list(shared_from_this()));
-  net::spawn(run_timers(shared_from_this()));
+  context_.spawn(run());
+  context_.spawn(load_and_watch());
+  context_.spawn(refresh_machine_list());
+  context_.spawn(run_timers());
 }
 
-void LeaderTerm::end() {
-  alive_ = false;
-  work_.ring();
+net::Task<net::HttpResponse> LeaderTerm::heartbeat(wire::Heartbeat heartbeat) {
+  // The response may be held beyond the end of the term.
+  const auto self = shared_from_this();
+  net::HttpResponse response = co_await heartbeats_.handle(std::move(heartbeat));
+  co_return response;
 }
 
-void LeaderTerm::superseded() {
-  if (!alive_) return;
-  spdlog::info("event=overtaken token={}", token().value);
-  listener_.on_superseded();
-}
+// ---- Main loop --------------------------------------------------------------------------------------------
 
-void LeaderTerm::push(Event event) {
-  events_.push_back(std::move(event));
-  work_.ring();
+double LeaderTerm::next_wakeup_s() const {
+  // With all writes in flight, as in an outage, none can be started: the end of one wakes the loop.
+  const double write_due_s = state_writer_.next_due_in_s().value_or(constants::kHousekeepingInterval);
+  return std::min(constants::kHousekeepingInterval, write_due_s);
 }
 
-// ---- The owner of all state -------------------------------------------------------------------------------
-
-net::Task<void> LeaderTerm::run(Self self) {
-  auto& cluster = self->cluster_;
-  while (self->alive_) {
-    // With all saves under way, as in an outage, there is nothing to wake for: the end of one rings the bell.
-    const bool may_save = self->writes_in_flight_ < constants::kMaxWritesInFlight;
-    const double due_s =
-        may_save ? cluster.next_write_due_in(self->now()).value_or(constants::kHousekeepingInterval)
-                 : constants::kHousekeepingInterval;
-    co_await self->work_.wait_for(net::seconds(std::min(constants::kHousekeepingInterval, due_s)));
-    if (!self->alive_) break;
-    auto events = std::exchange(self->events_, {});
-    auto heartbeats = std::exchange(self->heartbeats_, {});
-    const auto now = self->now();
-    bool recorded = false;
-    for (const auto& event : events) {
-      cluster.apply(event, now);
-      recorded = recorded || std::holds_alternative<core::WriteApplied>(event) ||
-                 std::holds_alternative<core::WriteConflicted>(event);
-    }
-    for (const auto& waiting : heartbeats) {
-      const auto fate = cluster.apply_heartbeat(waiting.heartbeat, now);
-      waiting.fate.set(fate);
-      if (fate == core::HeartbeatOutcome::accepted) self->last_heartbeat_at_ = self->services_.loop.now();
-      if (fate == core::HeartbeatOutcome::superseded) {
-        self->superseded();
-        break;
-      }
-    }
-    if (!self->alive_) break;
-    cluster.assign_tasks(now);
-    self->start_writes();
-    for (auto& effect : cluster.take_effects())
-      std::visit([&](auto& each) { net::spawn(execute(self, std::move(each))); }, effect);
-    if (recorded) self->release_held_responses();
+bool LeaderTerm::apply_events(core::Time now) {
+  bool write_finished = false;
+  for (const auto& event : context_.events().take()) {
+    cluster_.apply(event, now);
+    write_finished = write_finished || std::holds_alternative<core::WriteApplied>(event) ||
+                     std::holds_alternative<core::WriteConflicted>(event);
+  }
+  return write_finished;
+}
+
+net::Task<void> LeaderTerm::run() {
+  while (context_.alive()) {
+    co_await context_.events().wait_for(net::seconds(next_wakeup_s()));
+    if (!context_.alive()) break;
+    const auto now = context_.now();
+    const bool write_finished = apply_events(now);
+    heartbeats_.apply_queued(now);
+    if (!context_.alive()) break;  // a heartbeat showed a newer leader
+    cluster_.assign_tasks(now);
+    state_writer_.start_due_writes();
+    for (auto& effect : cluster_.take_effects()) effects_.execute(std::move(effect));
+    if (write_finished) holds_.release_ready();
   }
-  for (const auto& [machine, held] : std::exchange(self->held_responses_, {})) held.set(true);
+  holds_.release_all();
 }
 
-void LeaderTerm::release_held_responses() {
-  std::vector<MachineId> ready;
-  for (const auto& [machine, held] : held_responses_)
-    if (cluster_.response_hold(machine, now()) == core::ResponseHold::none) ready.push_back(machine);
-  for (const auto& machine : ready) {
-    held_responses_.at(machine).set(true);
-    held_responses_.erase(machine);
-  }
+// ---- Background tasks -------------------------------------------------------------------------------------
+
+net::Task<void> LeaderTerm::load_and_watch() {
+  std::optional<LoadedRecords> records = co_await loader_.load();
+  if (!records || !context_.alive()) co_return;
+  for (auto& event : records->events) push(std::move(event));
+  push(core::LoadCompleted{});
+  spdlog::info("event=state_loaded token={} revision={} records={}", token().value, records->revision.value,
+               records->events.size());
+  context_.spawn(watcher_.run(records->revision));
 }
 
-net::Task<void> LeaderTerm::hold_response(MachineId machine) {
-  auto& loop = services_.loop;
-  const auto began = loop.now();
-  std::optional<net::TimePoint> saving_since;
-  while (alive_) {
-    const auto hold = cluster_.response_hold(machine, now());
-    if (hold == core::ResponseHold::none) co_return;
-    if (hold == core::ResponseHold::awaiting_work && held_responses_.size() >= services_.max_held_responses)
-      co_return;
-    // Work given to an idle machine meanwhile has the same time to get on record as any other.
-    if (hold == core::ResponseHold::awaiting_write && !saving_since) saving_since = loop.now();
-    const auto until = saving_since ? *saving_since + net::seconds(constants::kWriteHoldTimeout)
-                                    : began + net::seconds(idle_hold_s());
-    if (loop.now() >= until) co_return;
-    const net::OneShot<bool> woken(loop);
-    held_responses_.insert_or_assign(machine, woken);
-    const std::optional<bool> ready = co_await woken.wait_until(until);
-    if (ready) continue;
-    if (auto found = held_responses_.find(machine);
-        found != held_responses_.end() && found->second.same(woken))
-      held_responses_.erase(found);
+net::Task<void> LeaderTerm::refresh_machine_list() {
+  while (context_.alive()) {
+    cloud::Result<std::vector<wire::ListedMachine>> listed = co_await context_.cloud().machines();
+    if (!context_.alive()) co_return;
+    if (listed) push(core::MachinesListed{std::move(listed.value)});
+    co_await context_.loop().sleep(net::seconds(constants::kMachineListInterval));
   }
 }
 
-net::Task<HttpResponse> LeaderTerm::heartbeat(wire::Heartbeat heartbeat) {
-  const Self self = shared_from_this();
-  auto& loop = services_.loop;
-  // A leader cut off from the store must not keep alive for long what others may have cancelled meanwhile.
-  const double isolated_service_s =
-      std::min(constants::kIsolatedServiceTimeMax, constants::kIsolatedServiceTimeShare * max_staleness_s());
-  const bool cut_off = isolated_since_ && loop.now() - *isolated_since_ >= net::seconds(isolated_service_s);
-  if (cut_off || staleness() >= max_staleness_s() || heartbeats_.size() >= constants::kHeartbeatQueueLimit)
-    co_return service_unavailable();
-  const net::OneShot<core::HeartbeatOutcome> fate(loop);
-  heartbeats_.push_back({heartbeat, fate});
-  work_.ring();
-  const std::optional<core::HeartbeatOutcome> decided =
-      co_await fate.wait_until(loop.now() + net::seconds(1));
-  if (!alive_ || decided != core::HeartbeatOutcome::accepted) co_return service_unavailable();
-  co_await hold_response(heartbeat.machine);
-  // A later report of the machine means that it no longer waits for this answer: its orders would be lost.
-  if (!alive_ || !cluster_.awaits_response(heartbeat)) co_return service_unavailable();
-  const auto commands = cluster_.commands_for(
-      heartbeat.machine, staleness() < constants::kStartStalenessWatches * watch_timeout_s(), now());
-  cluster_.response_sent(heartbeat.machine, now());
-  co_return json_response(200, wire::heartbeat_response(token(), commands));
+net::Task<void> LeaderTerm::run_timers() {
+  double since_statistics_s = 0;
+  while (context_.alive()) {
+    push(core::Tick{});
+    co_await context_.loop().sleep(net::seconds(constants::kHousekeepingInterval));
+    since_statistics_s += constants::kHousekeepingInterval;
+    if (since_statistics_s < constants::kAutoscalerInterval) continue;
+    since_statistics_s = 0;
+    log_statistics();
+  }
 }
 
-net::Task<void> LeaderTerm::run_timers(Self self) {
-  double counted_s = 0;
-  while (self->alive_) {
-    self->push(core::Tick{});
-    co_await self->services_.loop.sleep(net::seconds(constants::kHousekeepingInterval));
-    counted_s += constants::kHousekeepingInterval;
-    if (counted_s < constants::kAutoscalerInterval) continue;
-    counted_s = 0;
-    for (const auto& [offering, use] : self->cluster_.usage_by_offering())
-      spdlog::debug(
-          "event=fleet type={} zone={} spot={} machines={} booting={} empty={} cpus={:.0f} of={:.0f}",
-          offering.type, offering.zone, offering.spot, use.machines, use.booting, use.empty, use.cpus_used,
-          use.cpus);
-    const auto count = self->cluster_.count();
-    const auto tasks = self->cluster_.assignment_counts();
-    spdlog::info("event=tasks unsent={} fetching={} running={}", tasks.unsent, tasks.fetching, tasks.running);
-    spdlog::info(
-        "event=tick machines={} booting={} overwhelmed={} underwhelmed={} free={} waiting={} jobs={} "
-        "stale={:.1f}",
-        count.machines, count.booting, count.overwhelmed, count.underwhelmed, count.free, count.waiting_tasks,
-        self->cluster_.jobs(), self->staleness());
-    spdlog::info("event=pages kept={} saving={} held={}", self->cluster_.segments(), self->writes_in_flight_,
-                 self->held_responses_.size());
-  }
+void LeaderTerm::log_statistics() const {
+  for (const auto& [offering, usage] : cluster_.usage_by_offering())
+    spdlog::debug(
+        "event=offering_usage type={} zone={} spot={} machines={} booting={} empty={} cpus_used={:.0f} "
+        "cpus={:.0f}",
+        offering.type, offering.zone, offering.spot, usage.machines, usage.booting, usage.empty,
+        usage.cpus_used, usage.cpus);
+  const auto tasks = cluster_.assignment_counts();
+  spdlog::info("event=task_assignments unsent={} fetching={} running={}", tasks.unsent, tasks.fetching,
+               tasks.running);
+  const auto fleet = cluster_.count();
+  spdlog::info(
+      "event=fleet machines={} booting={} overwhelmed={} underwhelmed={} free={} waiting_tasks={} jobs={} "
+      "staleness_s={:.1f}",
+      fleet.machines, fleet.booting, fleet.overwhelmed, fleet.underwhelmed, fleet.free, fleet.waiting_tasks,
+      cluster_.jobs(), freshness_.staleness_s());
+  spdlog::info("event=state_writes task_log_segments={} in_flight={} held_responses={}", cluster_.segments(),
+               state_writer_.in_flight(), holds_.size());
 }
 
 }  // namespace dockdyke::app
--- /dev/null
+++ b/src/app/record_loader.cpp
@@ -0,0 +1,92 @@
+#include "app/record_loader.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <utility>
+
+#include "core/stored_records.hpp"
+#include "store/state_client.hpp"
+
+namespace dockdyke::app {
+
+namespace {
+
+core::Event parse_active_job(const wire::KeyValue& item) {
+  return core::JobLoaded{core::parse_job_record(item.value), item.version, false};
+}
+
+core::Event parse_terminating_job(const wire::KeyValue& item) {
+  return core::JobLoaded{core::parse_job_record(item.value), item.version, true};
+}
+
+core::Event parse_segment(const wire::KeyValue& item) {
+  return core::SegmentLoaded{item.key, core::parse_segment(item.value)};
+}
+
+core::Event parse_gang_part(const wire::KeyValue& item) {
+  return core::GangPartLoaded{item.key, core::parse_gang_part(item.key, item.value)};
+}
+
+core::Event parse_scale_out(const wire::KeyValue& item) {
+  return core::ScaleOutLoaded{wire::parse_scale_out_request(item.value)};
+}
+
+core::Event parse_scale_in(const wire::KeyValue& item) {
+  return core::ScaleInLoaded{item.key, wire::parse_machine_names(item.value)};
+}
+
+}  // namespace
+
+RecordLoader::RecordLoader(TermContext& context) : context_(context) {}
+
+net::Task<std::optional<LoadedRecords>> RecordLoader::load() {
+  while (context_.alive()) {
+    std::optional<LoadedRecords> records = co_await try_load();
+    if (records) co_return records;
+    co_await context_.retry_delay();
+  }
+  co_return std::nullopt;
+}
+
+net::Task<std::optional<wire::KeyPage>> RecordLoader::list(std::string prefix) {
+  store::Result<wire::KeyPage> page = co_await context_.state().list(std::move(prefix));
+  if (!page || !context_.alive()) co_return std::nullopt;
+  co_return std::move(page.value);
+}
+
+void RecordLoader::append(const wire::KeyPage& page, const Parser& parse, std::vector<core::Event>& events) {
+  // A record that can't be read must not end one leader after the other.
+  for (const auto& item : page.items) {
+    try {
+      events.push_back(parse(item));
+    } catch (const wire::Malformed& error) {
+      spdlog::error("event=malformed_record key={} error=\"{}\"", item.key, error.what());
+    }
+  }
+}
+
+net::Task<std::optional<LoadedRecords>> RecordLoader::try_load() {
+  struct Source {
+    const std::string& prefix;
+    Parser parse;
+  };
+  // Active jobs first: one that is cancelled in between is then found active, and the watch tells of its end.
+  // The other way round it would be in neither list, and its tasks would no longer count.
+  const std::vector<Source> sources{
+      {core::key::kActivePrefix, parse_active_job},  {core::key::kTerminatingPrefix, parse_terminating_job},
+      {core::key::kSegmentPrefix, parse_segment},    {core::key::kGangPrefix, parse_gang_part},
+      {core::key::kScaleOutPrefix, parse_scale_out}, {core::key::kScaleInPrefix, parse_scale_in}};
+  LoadedRecords records;
+  bool first = true;
+  for (const auto& source : sources) {
+    std::optional<wire::KeyPage> page = co_await list(source.prefix);
+    if (!page) co_return std::nullopt;
+    // The watch begins at the reading of the active jobs, whatever the later readings already show.
+    if (first) records.revision = page->revision;
+    first = false;
+    append(*page, source.parse, records.events);
+  }
+  co_return records;
+}
+
+}  // namespace dockdyke::app
--- /dev/null
+++ b/src/app/record_watcher.hpp
@@ -0,0 +1,37 @@
+// Watches the records of active jobs for submissions and cancellations by other controllers (PROTOCOL, "GET
+// /watch").
+#pragma once
+
+#include <string>
+
+#include "app/term_context.hpp"
+#include "app/view_freshness.hpp"
+#include "core/cluster.hpp"
+#include "net/task.hpp"
+#include "wire/messages.hpp"
+
+namespace dockdyke::app {
+
+class RecordWatcher {
+ public:
+  RecordWatcher(TermContext& context, const core::Cluster& cluster, ViewFreshness& freshness);
+
+  // Watches for changes after the revision until the term ends.
+  net::Task<void> run(Revision after);
+
+ private:
+  void apply(const wire::KeyEvents& changes);
+  // Too much has happened since the watched revision: compares the present records with the state.
+  net::Task<void> reconcile();
+  // Asks until the state service tells whether the job is still active.
+  net::Task<void> confirm_removal(JobId id);
+  // Pushes a record as a submitted job.
+  void push_submission(const std::string& key, const wire::Json& value, Revision version);
+
+  TermContext& context_;
+  const core::Cluster& cluster_;
+  ViewFreshness& freshness_;
+  Revision watched_revision_;
+};
+
+}  // namespace dockdyke::app
--- /dev/null
+++ b/src/app/state_writer.cpp
@@ -0,0 +1,89 @@
+#include "app/state_writer.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <optional>
+#include <utility>
+
+#include "constants.hpp"
+
+namespace dockdyke::app {
+
+using store::Outcome;
+using store::RequestPriority;
+
+StateWriter::StateWriter(TermContext& context, core::Cluster& cluster, CompletionListener on_job_completed)
+    : context_(context), cluster_(cluster), on_job_completed_(std::move(on_job_completed)) {}
+
+bool StateWriter::may_start() const {
+  return in_flight_ < constants::kMaxWritesInFlight;
+}
+
+std::optional<double> StateWriter::next_due_in_s() const {
+  if (!may_start()) return std::nullopt;
+  return cluster_.next_write_due_in(context_.now());
+}
+
+void StateWriter::start_due_writes() {
+  while (may_start()) {
+    auto write = cluster_.next_write(context_.now());
+    if (!write) return;
+    ++in_flight_;
+    context_.spawn(run(*std::move(write)));
+  }
+}
+
+net::Task<void> StateWriter::run(core::StateWrite write) {
+  write.transaction.preconditions.push_back(context_.leader_precondition());
+  const RequestPriority priority = write.urgent ? RequestPriority::high : RequestPriority::normal;
+  while (context_.alive()) {
+    store::Result<store::Committed> committed =
+        co_await context_.state().commit(write.transaction, priority, context_.background_deadline());
+    if (!context_.alive() || finish(write, committed)) break;
+    const bool rejected = committed.outcome == Outcome::rejected;
+    if (rejected) {
+      spdlog::error("event=write_rejected number={}", write.number);
+      context_.events().push(core::WriteRejected{write.number});
+    }
+    co_await context_.retry_delay();
+    if (rejected) break;
+    // Refused, or perhaps applied: the same transaction again, which its preconditions keep from being
+    // applied twice.
+  }
+  --in_flight_;
+  context_.events().wake();
+}
+
+bool StateWriter::finish(const core::StateWrite& write, store::Result<store::Committed>& committed) {
+  if (committed) {
+    for (const auto& id : write.finals) report_completion(id);
+    context_.events().push(core::WriteApplied{write.number});
+    return true;
+  }
+  if (committed.outcome != Outcome::conflict) return false;
+  if (TermContext::leader_changed(committed.value)) {
+    context_.superseded();
+  } else {
+    auto& failed = committed.value.failed_preconditions;
+    context_.events().push(core::WriteConflicted{write.number, std::move(failed)});
+  }
+  return true;
+}
+
+void StateWriter::report_completion(const JobId& id) const {
+  const core::Job* job = cluster_.job(id);
+  if (!job) return;
+  spdlog::debug(
+      "event=job_completed id={} class={} tasks={} estimated_run_s={:.0f} submitted_s={:.1f} "
+      "duration_s={:.1f}",
+      id.value, job->spec.job_class, job->spec.task_count, job->spec.estimated_run_s, job->submitted,
+      context_.now() - job->submitted);
+  if (job->is_gang())
+    spdlog::debug(
+        "event=gang_completed id={} attempts={} machines={} assigned_after_s={:.2f} started_after_s={:.2f}",
+        id.value, job->gang.attempt, job->gang.machine_count, job->gang.assigned_at - job->submitted,
+        job->gang.started_at - job->submitted);
+  on_job_completed_(id, {wire::JobState::done, job->done_count, 0});
+}
+
+}  // namespace dockdyke::app
