--- a/src/app/job_status_reader.hpp
+++ b/src/app/job_status_reader.hpp
@@ -10,7 +10,7 @@
 #include "core/model.hpp"
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_messages.hpp"
 #include "store/state_client.hpp"
 
 namespace dockdyke::app {
--- a/src/app/leader_forwarder.cpp
+++ b/src/app/leader_forwarder.cpp
@@ -5,6 +5,7 @@
 
 #include "constants.hpp"
 #include "net/http_status.hpp"
+#include "peer/peer_client.hpp"
 
 namespace dockdyke::app {
 
--- a/src/app/leader_forwarder.hpp
+++ b/src/app/leader_forwarder.hpp
@@ -11,7 +11,7 @@
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_messages.hpp"
 #include "store/state_client.hpp"
 
 namespace dockdyke::app {
--- a/src/app/peer_monitor.cpp
+++ b/src/app/peer_monitor.cpp
@@ -5,6 +5,7 @@
 #include <optional>
 
 #include "constants.hpp"
+#include "peer/peer_client.hpp"
 
 namespace dockdyke::app {
 
@@ -44,7 +45,7 @@
         co_await peer::fetch_status(transport_, controller.address);
     if (!status) continue;
     any_response = true;
-    reaches_state = reaches_state || status->state_answers;
+    reaches_state = reaches_state || status->state_reachable;
     if (status->leading) consider_leader_claim(controller, *status);
   }
   peer_reaches_state_ = reaches_state;
--- a/src/app/peer_monitor.hpp
+++ b/src/app/peer_monitor.hpp
@@ -8,7 +8,7 @@
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_messages.hpp"
 #include "store/election.hpp"
 #include "store/state_client.hpp"
 
--- a/src/app/peer_notifier.cpp
+++ b/src/app/peer_notifier.cpp
@@ -1,7 +1,7 @@
 #include "app/peer_notifier.hpp"
 
 #include "net/task.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_client.hpp"
 
 namespace dockdyke::app {
 
--- a/src/app/peer_routes.cpp
+++ b/src/app/peer_routes.cpp
@@ -6,7 +6,7 @@
 
 #include "app/responses.hpp"
 #include "net/http_status.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_messages.hpp"
 
 namespace dockdyke::app {
 
@@ -47,8 +47,8 @@
   peer::PeerStatus status;
   status.leading = leadership_.leading();
   status.token = leadership_.leading() ? leadership_.term()->token().value : 0;
-  status.state_answers = !state_.unreachable();
-  status.workers_heard = workers_.recent_heartbeats();
+  status.state_reachable = !state_.unreachable();
+  status.recent_heartbeats = workers_.recent_heartbeats();
   return {http_status::kOk, peer::encode(status), std::nullopt};
 }
 
@@ -87,7 +87,7 @@
   } else {
     response = co_await cancellations_.cancel(JobId(std::move(forwarded->job)));
   }
-  co_return HttpResponse{http_status::kOk, peer::encode(peer::to_answer(response)), std::nullopt};
+  co_return HttpResponse{http_status::kOk, peer::encode(peer::to_forwarded_response(response)), std::nullopt};
 }
 
 }  // namespace dockdyke::app
--- a/src/app/peer_routes.hpp
+++ b/src/app/peer_routes.hpp
@@ -1,4 +1,4 @@
-// Routes of the other controllers (messages in peer/peer.hpp).
+// Routes of the other controllers (messages in peer/peer_messages.hpp).
 #pragma once
 
 #include "app/cancellation_handler.hpp"
--- a/src/app/poll_batcher.hpp
+++ b/src/app/poll_batcher.hpp
@@ -11,7 +11,7 @@
 
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_messages.hpp"
 #include "wire/ids.hpp"
 
 namespace dockdyke::app {
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <optional>
-#include <sstream>
+#include <utility>
 
 #include "constants.hpp"
 
@@ -15,15 +15,18 @@
 
 using Json = nlohmann::json;
 
-// One map of the file, with its path for messages.
+// One map of the file, with its path for messages. Refers to the parsed file, which must outlive it.
 class Section {
  public:
   Section(const Json& value, std::string path) : value_(value), path_(std::move(path)) {
     if (!value_.is_object()) fail(path_.empty() ? "the file" : path_, "must be a map");
   }
 
+  // The map under the field. Like the other readers below, throws SettingsError where the field is missing or
+  // of the wrong kind.
   Section section(const char* field) const { return Section(require(field), name(field)); }
 
+  // A text that is not empty.
   std::string text(const char* field) const {
     const auto& value = require(field);
     if (!value.is_string() || value.get_ref<const std::string&>().empty())
@@ -49,18 +52,20 @@
     return number;
   }
 
+  // Nothing where the field is absent.
   std::optional<Section> optional_section(const char* field) const {
     auto found = value_.find(field);
     if (found == value_.end() || found->is_null()) return std::nullopt;
     return Section(*found, name(field));
   }
 
+  // 0 where the field is absent.
   double amount_or_none(const char* field) const {
     auto found = value_.find(field);
     return found == value_.end() || found->is_null() ? 0 : amount(field, *found);
   }
 
-  // Empty where the list is absent.
+  // The maps of a list; empty where the list is absent and not required.
   std::vector<Section> sections(const char* field, bool required) const {
     std::vector<Section> out;
     auto found = value_.find(field);
@@ -100,75 +105,93 @@
   std::size_t max_transaction_changes = 0;
 };
 
-StoreLimits store_limits(const Section& state) {
-  return {static_cast<std::size_t>(state.at_least("value_kb", constants::kMinValueKib) * 1024),
+StoreLimits parse_store_limits(const Section& state) {
+  constexpr double kBytesPerKib = 1024;
+  return {static_cast<std::size_t>(state.at_least("value_kb", constants::kMinValueKib) * kBytesPerKib),
           static_cast<std::size_t>(state.at_least("txn_ops", constants::kMinTransactionChanges))};
 }
 
-}  // namespace
+core::Team parse_team(const Section& section) {
+  core::Team team;
+  team.name = section.text("name");
+  team.guaranteed_share = {section.amount_or_none("cpus"), section.amount_or_none("gpus"), 0};
+  team.quota = {section.amount_or_none("cpus_max"), section.amount_or_none("gpus_max"), 0};
+  return team;
+}
 
-Settings parse_settings(const std::string& text) {
-  const auto file = Json::parse(text, nullptr, false);
-  if (file.is_discarded()) throw SettingsError("settings: the file is not JSON");
-  const Section root(file, "");
-  Settings out;
+// Nothing for a kind that came after this version.
+std::optional<core::ServiceLevelObjective> parse_objective(const Section& section) {
+  using Kind = core::ServiceLevelObjective::Kind;
+  const auto kind = section.text("kind");
+  core::ServiceLevelObjective objective;
+  if (kind == "finished" || kind == "wait") {
+    objective.kind = kind == "wait" ? Kind::start : Kind::completion;
+    objective.target_s = section.positive("within_s");
+  } else if (kind == "deadline") {
+    objective.kind = Kind::deadline;
+    if (const double factor = section.amount_or_none("times"); factor > 0) objective.deadline_factor = factor;
+  } else {
+    return std::nullopt;
+  }
+  objective.job_class = section.text("class");
+  return objective;
+}
+
+void parse_addresses(const Section& root, Settings& out) {
   out.host = root.text("host_name");
   out.public_address = root.address("public_addr");
   out.internal_address = root.address("internal_addr");
   const auto services = root.section("services");
   out.cloud = services.address("cloud");
   out.state = services.address("state");
-  for (const auto& each : root.sections("siblings", true))
-    out.peers.push_back({each.text("host_name"), each.address("addr")});
+  for (const auto& controller : root.sections("siblings", true))
+    out.peers.push_back({controller.text("host_name"), controller.address("addr")});
+}
 
-  const auto settings = root.section("settings");
-  for (const auto& each : settings.sections("teams", true)) {
-    core::Team team;
-    team.name = each.text("name");
-    team.guaranteed_share = {each.amount_or_none("cpus"), each.amount_or_none("gpus"), 0};
-    team.quota = {each.amount_or_none("cpus_max"), each.amount_or_none("gpus_max"), 0};
-    out.cluster.teams.push_back(std::move(team));
-  }
-  for (const auto& each : settings.sections("objectives", false)) {
-    const auto kind = each.text("kind");
-    core::ServiceLevelObjective objective;
-    if (kind == "finished" || kind == "wait") {
-      objective.kind = kind == "wait" ? core::ServiceLevelObjective::Kind::start
-                                      : core::ServiceLevelObjective::Kind::completion;
-      objective.target_s = each.positive("within_s");
-    } else if (kind == "deadline") {
-      objective.kind = core::ServiceLevelObjective::Kind::deadline;
-      if (const double deadline_factor = each.amount_or_none("times"); deadline_factor > 0)
-        objective.deadline_factor = deadline_factor;
-    } else {
-      continue;  // a kind that came after this version
-    }
-    objective.job_class = each.text("class");
-    out.cluster.objectives.push_back(std::move(objective));
-  }
-  const auto workers = settings.section("workers");
-  out.cluster.heartbeat_interval_s = workers.positive("report_s");
-  out.cluster.worker_lease_s = workers.positive("lease_s");
-  out.cluster.cancellation_timeout_s = workers.positive("cancel_s");
-  out.cluster.gang_assembly_timeout_s = workers.positive("gang_wait_s");
-  out.cluster.gang_peer_timeout_s = workers.positive("gang_peer_s");
-  const auto state = settings.section("state");
+void parse_workers(const Section& workers, core::ClusterConfig& cluster) {
+  cluster.heartbeat_interval_s = workers.positive("report_s");
+  cluster.worker_lease_s = workers.positive("lease_s");
+  cluster.cancellation_timeout_s = workers.positive("cancel_s");
+  cluster.gang_assembly_timeout_s = workers.positive("gang_wait_s");
+  cluster.gang_peer_timeout_s = workers.positive("gang_peer_s");
+}
+
+void parse_state(const Section& state, Settings& out) {
   out.state_rps = state.positive("rps");
   out.state_write_rps = state.positive("write_rps");
   out.cluster.write_rps = out.state_write_rps;
-  const StoreLimits limits_now = store_limits(state);
+  const StoreLimits present = parse_store_limits(state);
   const auto next = state.optional_section("next");
-  const StoreLimits limits_later = next ? store_limits(*next) : limits_now;
-  out.state_write_rps_later =
-      std::min(out.state_write_rps, next ? next->positive("write_rps") : out.state_write_rps);
-  out.cluster.max_value_bytes = std::min(limits_now.max_value_bytes, limits_later.max_value_bytes);
+  const StoreLimits announced = next ? parse_store_limits(*next) : present;
+  const double announced_write_rps = next ? next->positive("write_rps") : out.state_write_rps;
+  // The announced limits come into force without notice: sizes keep to the smaller ones from the beginning.
+  out.state_write_rps_later = std::min(out.state_write_rps, announced_write_rps);
+  out.cluster.max_value_bytes = std::min(present.max_value_bytes, announced.max_value_bytes);
   out.cluster.max_transaction_changes =
-      std::min(limits_now.max_transaction_changes, limits_later.max_transaction_changes);
-  const auto cloud = settings.section("cloud");
-  out.cluster.cloud_rps = cloud.positive("rps");
-  out.cluster.machine_list_lag_s = cloud.amount_or_none("list_lag_s");
-  const auto resources = settings.section("resources");
-  out.connections = static_cast<std::size_t>(resources.positive("fd_limit"));
+      std::min(present.max_transaction_changes, announced.max_transaction_changes);
+}
+
+void parse_cloud(const Section& cloud, core::ClusterConfig& cluster) {
+  cluster.cloud_rps = cloud.positive("rps");
+  cluster.machine_list_lag_s = cloud.amount_or_none("list_lag_s");
+}
+
+}  // namespace
+
+Settings parse_settings(const std::string& text) {
+  const auto file = Json::parse(text, nullptr, false);
+  if (file.is_discarded()) throw SettingsError("settings: the file is not JSON");
+  const Section root(file, "");
+  Settings out;
+  parse_addresses(root, out);
+  const auto settings = root.section("settings");
+  for (const auto& team : settings.sections("teams", true)) out.cluster.teams.push_back(parse_team(team));
+  for (const auto& section : settings.sections("objectives", false))
+    if (auto objective = parse_objective(section)) out.cluster.objectives.push_back(*std::move(objective));
+  parse_workers(settings.section("workers"), out.cluster);
+  parse_state(settings.section("state"), out);
+  parse_cloud(settings.section("cloud"), out.cluster);
+  out.connections = static_cast<std::size_t>(settings.section("resources").positive("fd_limit"));
   out.cluster.min_machines = constants::kDefaultMinMachines;
   out.cluster.free_machines = constants::kDefaultFreeMachines;
   out.cluster.max_machines = constants::kDefaultMaxMachines;
--- a/src/app/status_poll_handler.hpp
+++ b/src/app/status_poll_handler.hpp
@@ -10,7 +10,7 @@
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_messages.hpp"
 
 namespace dockdyke::app {
 
--- a/src/app/worker_reachability_monitor.cpp
+++ b/src/app/worker_reachability_monitor.cpp
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "constants.hpp"
-#include "peer/peer.hpp"
+#include "peer/peer_client.hpp"
 
 namespace dockdyke::app {
 
@@ -21,7 +21,7 @@
         co_await peer::fetch_status(transport_, controller.address);
     if (!status) continue;
     survey.any_response = true;
-    survey.recent_heartbeats += status->workers_heard;
+    survey.recent_heartbeats += status->recent_heartbeats;
   }
   co_return survey;
 }
