--- a/src/app/cancellation_handler.hpp
+++ b/src/app/cancellation_handler.hpp
@@ -2,6 +2,8 @@
 // does not respond, on any other controller.
 #pragma once
 
+#include <cstdint>
+
 #include "app/job_reader.hpp"
 #include "app/leadership_state.hpp"
 #include "app/peer_notifier.hpp"
--- a/src/app/guarded_writer.cpp
+++ b/src/app/guarded_writer.cpp
@@ -14,7 +14,7 @@
     if (committed) co_return context_.alive();
     if (committed.outcome == store::Outcome::conflict) {
       if (TermContext::leader_changed(committed.value)) {
-        context_.superseded();
+        context_.report_superseded();
         co_return false;
       }
       // The other precondition says that the key exists: an earlier call of this loop, whose response was
--- a/src/app/heartbeat_handler.cpp
+++ b/src/app/heartbeat_handler.cpp
@@ -54,7 +54,7 @@
     queued.outcome.set(outcome);
     if (outcome == HeartbeatOutcome::accepted) last_accepted_at_ = context_.loop().now();
     if (outcome == HeartbeatOutcome::superseded) {
-      context_.superseded();
+      context_.report_superseded();
       return;
     }
   }
--- a/src/app/job_feasibility.hpp
+++ b/src/app/job_feasibility.hpp
@@ -1,6 +1,8 @@
 // Whether a submitted job can ever run (PROTOCOL, "POST /work", status 422).
 #pragma once
 
+#include <cstddef>
+
 #include "app/machine_type_catalog.hpp"
 #include "core/model.hpp"
 #include "wire/messages.hpp"
--- a/src/app/peer_monitor.cpp
+++ b/src/app/peer_monitor.cpp
@@ -25,13 +25,13 @@
     if (state_.unreachable()) {
       co_await check_peers();
     } else {
-      state_reachable();
+      clear_state_outage();
       co_await worker_reachability_.check();
     }
   }
 }
 
-void PeerMonitor::state_reachable() {
+void PeerMonitor::clear_state_outage() {
   peer_reaches_state_ = false;
   isolated_ = false;
   if (leadership_.leading()) leadership_.term()->set_isolated(false);
--- a/src/app/peer_monitor.hpp
+++ b/src/app/peer_monitor.hpp
@@ -2,6 +2,8 @@
 // controller alone (PROTOCOL, "Outages and cuts").
 #pragma once
 
+#include <vector>
+
 #include "app/leadership_state.hpp"
 #include "app/settings.hpp"
 #include "app/worker_reachability_monitor.hpp"
@@ -28,7 +30,7 @@
   bool peers_preferred() const { return state_.unreachable() && (peer_reaches_state_ || isolated_); }
 
  private:
-  void state_reachable();
+  void clear_state_outage();
   net::Task<void> check_peers();
   // A peer says that it leads.
   void consider_leader_claim(const PeerController& controller, const peer::PeerStatus& status);
--- a/src/app/state_writer.cpp
+++ b/src/app/state_writer.cpp
@@ -62,7 +62,7 @@
   }
   if (committed.outcome != Outcome::conflict) return false;
   if (TermContext::leader_changed(committed.value)) {
-    context_.superseded();
+    context_.report_superseded();
   } else {
     auto& failed = committed.value.failed_preconditions;
     context_.events().push(core::WriteConflicted{write.number, std::move(failed)});
--- a/src/app/term_context.cpp
+++ b/src/app/term_context.cpp
@@ -45,7 +45,7 @@
   events_.wake();
 }
 
-void TermContext::superseded() {
+void TermContext::report_superseded() {
   if (!alive_) return;
   spdlog::info("event=superseded token={}", token_.value);
   on_superseded_();
--- a/src/app/term_context.hpp
+++ b/src/app/term_context.hpp
@@ -41,7 +41,7 @@
   bool alive() const { return alive_; }
   void end();
   // A newer leader exists: ends the leadership, unless it has ended already.
-  void superseded();
+  void report_superseded();
 
   net::Loop& loop() const { return services_.loop; }
   store::StateClient& state() const { return services_.state; }
