--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -1,63 +1,72 @@
 #include "net/http_client.hpp"
 
-#include "constants.hpp"
+#include <string_view>
+#include <utility>
+
+#include "net/http_message.hpp"
 
 namespace dockdyke::net {
 
-std::optional<Socket> HttpClient::reuse(Address to) {
-  auto& queue = idle_[to];
-  while (!queue.empty()) {
-    Idle last = std::move(queue.back());
-    queue.pop_back();
-    if (loop_.now() - last.since < constants::kIdleClientConnectionTimeout && !last.socket.stale())
-      return std::move(last.socket);
+std::optional<Socket> HttpClient::take_idle(Address to) {
+  auto& connections = idle_connections_[to];
+  while (!connections.empty()) {
+    IdleConnection last = std::move(connections.back());
+    connections.pop_back();
+    const bool recent = loop_.now() - last.since < constants::kIdleClientConnectionTimeout;
+    if (recent && !last.socket.stale()) return std::move(last.socket);
   }
   return std::nullopt;
 }
 
-void HttpClient::keep(Address to, Socket socket) {
-  auto& queue = idle_[to];
-  if (queue.size() >= constants::kMaxIdleConnectionsPerHost) queue.pop_front();
-  queue.push_back({std::move(socket), loop_.now()});
+void HttpClient::keep_idle(Address to, Socket socket) {
+  auto& connections = idle_connections_[to];
+  if (connections.size() >= constants::kMaxIdleConnectionsPerHost) connections.pop_front();
+  connections.push_back({std::move(socket), loop_.now()});
 }
 
-CallResult HttpClient::give_up(Address to) {
-  // After a cut the other idle connections hang just the same; each would cost a timeout of its own.
-  idle_.erase(to);
+CallResult HttpClient::connection_lost(Address to) {
+  // After a network cut the other idle connections hang just the same; each would cost a timeout of its own.
+  idle_connections_.erase(to);
   return {};
 }
 
-Task<CallResult> HttpClient::call(Address to, std::string method, std::string target, std::string body,
-                                  Duration timeout) {
-  const TimePoint deadline = loop_.now() + timeout;
-  std::optional<Socket> socket = reuse(to);
-  if (!socket) {
-    socket = co_await Socket::connect(loop_, to, deadline);
-    if (!socket) co_return CallResult{std::nullopt, true};
-  }
-  std::string bytes = method + " " + target + " HTTP/1.1\r\nHost: " + to.text();
-  if (!body.empty()) bytes += "\r\nContent-Type: application/msgpack";
-  if (!body.empty() || method == "POST") bytes += "\r\nContent-Length: " + std::to_string(body.size());
-  bytes += "\r\n\r\n";
-  bytes += body;
-  const IoStatus sent = co_await socket->write_all(bytes, deadline);
-  if (sent != IoStatus::ok) co_return give_up(to);
+Task<std::optional<Socket>> HttpClient::open_connection(Address to, TimePoint deadline) {
+  std::optional<Socket> idle = take_idle(to);
+  if (idle) co_return idle;
+  ConnectResult connection = co_await Socket::connect(loop_, to, deadline);
+  co_return std::move(connection.socket);
+}
 
-  HttpParser parser(HttpParser::Kind::response, constants::kMaxResponseBodyBytes);
+Task<bool> HttpClient::read_response(Socket& socket, HttpParser& parser, TimePoint deadline) {
   while (!parser.complete() && parser.error() == 0) {
-    const ReadResult got = co_await socket->read_some(buffer_, deadline);
-    if (got.status == IoStatus::timeout) co_return give_up(to);
-    if (got.status == IoStatus::closed) {
+    const IoResult received = co_await socket.read_some(buffer_, deadline);
+    if (received.status == IoStatus::timeout) co_return false;
+    if (!received) {
+      // A response without a stated length ends with the connection, however that ends.
       parser.finish();
-      if (!parser.complete()) co_return give_up(to);
-      break;
+      co_return parser.complete();
     }
-    parser.feed(std::string_view(buffer_.data(), got.size));
+    parser.feed(std::string_view(buffer_.data(), received.size));
   }
+  co_return true;
+}
+
+Task<CallResult> HttpClient::call(Address to, std::string method, std::string target, std::string body,
+                                  Duration timeout) {
+  const TimePoint deadline = loop_.now() + timeout;
+  std::optional<Socket> socket = co_await open_connection(to, deadline);
+  if (!socket) co_return CallResult{std::nullopt, true};
+  const std::string request = serialize_request(method, target, to.text(), body);
+  const IoResult sent = co_await socket->write_all(request, deadline);
+  if (!sent) co_return connection_lost(to);
+
+  HttpParser parser(HttpParser::Kind::response, constants::kMaxResponseBodyBytes);
+  const bool received = co_await read_response(*socket, parser, deadline);
+  if (!received) co_return connection_lost(to);
   if (parser.error() != 0) co_return CallResult{};
   CallResult result;
   result.response = parser.take();
-  if (result.response->keep_alive) keep(to, std::move(*socket));
+  if (result.response->keep_alive) keep_idle(to, std::move(*socket));
   co_return result;
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,4 @@
-// Calls to other services over kept-alive connections. Every call has a timeout.
+// The HTTP client for requests to other services over connections that are kept alive.
 #pragma once
 
 #include <deque>
@@ -8,28 +8,17 @@
 #include <vector>
 
 #include "constants.hpp"
+#include "net/address.hpp"
 #include "net/http_parser.hpp"
 #include "net/loop.hpp"
 #include "net/socket.hpp"
 #include "net/task.hpp"
+#include "net/transport.hpp"
 
 namespace dockdyke::net {
 
-// What a call came to. Without a response the request may have been carried out, or may yet be.
-struct CallResult {
-  std::optional<HttpMessage> response;
-  // True when no byte of the request can have reached the other side.
-  bool never_sent = false;
-};
-
-// How the rest of the program reaches other hosts; tests put an in-memory network in its place.
-class Transport {
- public:
-  virtual ~Transport() = default;
-  virtual Task<CallResult> call(Address to, std::string method, std::string target, std::string body,
-                                Duration timeout) = 0;
-};
-
+// Every call has a connection to itself while it runs and leaves it to later calls when it is done. The
+// client must outlive its calls.
 class HttpClient : public Transport {
  public:
   explicit HttpClient(Loop& loop) : loop_(loop), buffer_(constants::kReadBufferBytes) {}
@@ -37,16 +26,23 @@
                         Duration timeout) override;
 
  private:
-  struct Idle {
+  struct IdleConnection {
     Socket socket;
     TimePoint since;
   };
-  std::optional<Socket> reuse(Address to);
-  void keep(Address to, Socket socket);
-  CallResult give_up(Address to);
+
+  // The idle connection used last that is still worth using.
+  std::optional<Socket> take_idle(Address to);
+  void keep_idle(Address to, Socket socket);
+  // An idle connection or a new one; nothing when none can be had in time.
+  Task<std::optional<Socket>> open_connection(Address to, TimePoint deadline);
+  // Reads until the parser has a whole response or refuses it. False when the connection failed before.
+  Task<bool> read_response(Socket& socket, HttpParser& parser, TimePoint deadline);
+  // Closes the idle connections to a host and returns a result without a response.
+  CallResult connection_lost(Address to);
 
   Loop& loop_;
-  std::map<Address, std::deque<Idle>> idle_;
+  std::map<Address, std::deque<IdleConnection>> idle_connections_;
   // Shared by all calls: what is read is taken over before another coroutine runs.
   std::vector<char> buffer_;
 };
--- a/src/net/http_parser.cpp
+++ b/src/net/http_parser.cpp
@@ -3,14 +3,23 @@
 #include <algorithm>
 #include <cctype>
 #include <charconv>
+#include <system_error>
 #include <utility>
 
 #include "constants.hpp"
+#include "net/http_status.hpp"
 
 namespace dockdyke::net {
 
 namespace {
 
+constexpr int kDecimal = 10;
+constexpr int kHexadecimal = 16;
+constexpr std::size_t kStatusDigits = 3;
+constexpr std::string_view kHttp11 = "HTTP/1.1";
+constexpr std::string_view kHttp10 = "HTTP/1.0";
+constexpr std::string_view kHttp1Prefix = "HTTP/1.";
+
 bool is_token_char(char c) {
   return std::isalnum(static_cast<unsigned char>(c)) ||
          std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
@@ -20,6 +29,16 @@
   return !text.empty() && std::all_of(text.begin(), text.end(), is_token_char);
 }
 
+bool is_target(std::string_view text) {
+  const auto printable = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
+  return text.starts_with('/') && std::all_of(text.begin(), text.end(), printable);
+}
+
+bool has_control_char(std::string_view text) {
+  const auto control = [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; };
+  return std::any_of(text.begin(), text.end(), control);
+}
+
 std::string lower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
@@ -33,21 +52,17 @@
   return text;
 }
 
+// Nothing for text that is not entirely a number, or one that is too large.
 std::optional<std::size_t> parse_number(std::string_view text, int base) {
   std::size_t value = 0;
-  auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
-  if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  const char* const text_end = text.data() + text.size();
+  const auto [parsed_end, error] = std::from_chars(text.data(), text_end, value, base);
+  if (text.empty() || error != std::errc{} || parsed_end != text_end) return std::nullopt;
   return value;
 }
 
 }  // namespace
 
-std::optional<std::string_view> HttpMessage::header(std::string_view lower_case_name) const {
-  for (const auto& each : headers)
-    if (each.name == lower_case_name) return each.value;
-  return std::nullopt;
-}
-
 void HttpParser::fail(int status) {
   error_ = status;
   state_ = State::failed;
@@ -55,68 +70,77 @@
 
 std::size_t HttpParser::feed(std::string_view bytes) {
   const std::size_t offered = bytes.size();
-  while (!bytes.empty() && state_ != State::complete && state_ != State::failed) {
-    if (state_ == State::body || state_ == State::chunk_data) {
-      auto part = bytes.substr(0, remaining_);
-      append_body(part);
-      remaining_ -= part.size();
-      bytes.remove_prefix(part.size());
-      if (remaining_ == 0 && state_ != State::failed)
-        state_ = state_ == State::body ? State::complete : State::chunk_end;
-      continue;
-    }
-    if (state_ == State::until_close) {
+  while (!bytes.empty() && state_ != State::complete && state_ != State::failed)
+    bytes.remove_prefix(consume(bytes));
+  return offered - bytes.size();
+}
+
+void HttpParser::finish() {
+  if (state_ == State::until_close) state_ = State::complete;
+}
+
+HttpMessage HttpParser::take() {
+  HttpMessage out = std::exchange(message_, {});
+  *this = HttpParser(kind_, max_body_bytes_);
+  return out;
+}
+
+std::size_t HttpParser::consume(std::string_view bytes) {
+  switch (state_) {
+    case State::body:
+      return consume_counted(bytes, State::complete);
+    case State::chunk_data:
+      return consume_counted(bytes, State::chunk_end);
+    case State::until_close:
       append_body(bytes);
-      bytes = {};
-      continue;
-    }
-    auto end = bytes.find('\n');
-    auto part = bytes.substr(0, end == std::string_view::npos ? bytes.size() : end);
-    head_bytes_ += part.size() + 1;
-    if (head_bytes_ > constants::kMaxHeadBytes) {
-      fail(431);
-      break;
-    }
-    line_.append(part);
-    if (end == std::string_view::npos) {
-      bytes = {};
-      break;
-    }
-    bytes.remove_prefix(end + 1);
-    if (!line_.empty() && line_.back() == '\r') line_.pop_back();
-    auto line = std::exchange(line_, {});
-    on_line(line);
+      return bytes.size();
+    default:
+      return consume_line(bytes);
   }
-  return offered - bytes.size();
+}
+
+std::size_t HttpParser::consume_counted(std::string_view bytes, State next) {
+  const auto part = bytes.substr(0, remaining_);
+  append_body(part);
+  remaining_ -= part.size();
+  if (remaining_ == 0 && state_ != State::failed) state_ = next;
+  return part.size();
+}
+
+void HttpParser::append_body(std::string_view bytes) {
+  if (message_.body.size() + bytes.size() > max_body_bytes_) return fail(http_status::kContentTooLarge);
+  message_.body.append(bytes);
+}
+
+std::size_t HttpParser::consume_line(std::string_view bytes) {
+  const auto line_end = bytes.find('\n');
+  const auto part = bytes.substr(0, line_end);
+  head_bytes_ += part.size() + 1;
+  if (head_bytes_ > constants::kMaxHeadBytes) {
+    fail(http_status::kHeaderFieldsTooLarge);
+    return 0;
+  }
+  line_.append(part);
+  if (line_end == std::string_view::npos) return bytes.size();
+  if (!line_.empty() && line_.back() == '\r') line_.pop_back();
+  const std::string line = std::exchange(line_, {});
+  on_line(line);
+  return line_end + 1;
 }
 
 void HttpParser::on_line(std::string_view line) {
   switch (state_) {
-    case State::head:
-      if (!have_start_) {
-        if (line.empty()) return;  // a stray empty line before a request is allowed by HTTP
-        if (!start_line(line)) return fail(400);
-        have_start_ = true;
-      } else if (line.empty()) {
-        head_done();
-      } else {
-        header_line(line);
-      }
-      return;
-    case State::chunk_size: {
-      auto size = parse_number(trim(line.substr(0, line.find(';'))), 16);
-      if (!size) return fail(400);
-      if (*size > max_body_) return fail(413);
-      remaining_ = *size;
-      head_bytes_ = 0;
-      state_ = *size == 0 ? State::trailer : State::chunk_data;
-      return;
-    }
+    case State::start_line:
+      return on_start_line(line);
+    case State::headers:
+      return line.empty() ? on_headers_complete() : on_header(line);
+    case State::chunk_size:
+      return on_chunk_size(line);
     case State::chunk_end:
-      if (!line.empty()) return fail(400);
+      if (!line.empty()) return fail(http_status::kBadRequest);
       state_ = State::chunk_size;
       return;
-    case State::trailer:
+    case State::trailers:
       if (line.empty()) state_ = State::complete;
       return;
     default:
@@ -124,75 +148,115 @@
   }
 }
 
-bool HttpParser::start_line(std::string_view line) {
-  auto first = line.find(' ');
+void HttpParser::on_start_line(std::string_view line) {
+  if (line.empty()) return;  // a stray empty line before a message is allowed by HTTP
+  const bool valid = kind_ == Kind::response ? parse_status_line(line) : parse_request_line(line);
+  if (!valid) return fail(http_status::kBadRequest);
+  state_ = State::headers;
+}
+
+bool HttpParser::parse_status_line(std::string_view line) {
+  const auto space = line.find(' ');
+  if (space == std::string_view::npos) return false;
+  const auto version = line.substr(0, space);
+  const auto status = parse_number(line.substr(space + 1, kStatusDigits), kDecimal);
+  if (!version.starts_with(kHttp1Prefix) || !status) return false;
+  if (*status < http_status::kMin || *status > http_status::kMax) return false;
+  message_.status = static_cast<int>(*status);
+  message_.keep_alive = version != kHttp10;
+  return true;
+}
+
+bool HttpParser::parse_request_line(std::string_view line) {
+  const auto first = line.find(' ');
   if (first == std::string_view::npos) return false;
-  if (kind_ == Kind::response) {
-    auto version = line.substr(0, first);
-    auto code = line.substr(first + 1, 3);
-    auto status = parse_number(code, 10);
-    if (!version.starts_with("HTTP/1.") || !status || *status < 100 || *status > 599) return false;
-    message_.status = static_cast<int>(*status);
-    message_.keep_alive = version != "HTTP/1.0";
-    return true;
-  }
-  auto second = line.find(' ', first + 1);
-  if (second == std::string_view::npos || line.find(' ', second + 1) != std::string_view::npos) return false;
-  auto version = line.substr(second + 1);
+  const auto second = line.find(' ', first + 1);
+  if (second == std::string_view::npos) return false;
+  if (line.find(' ', second + 1) != std::string_view::npos) return false;
+  const auto version = line.substr(second + 1);
   message_.method = line.substr(0, first);
   message_.target = line.substr(first + 1, second - first - 1);
-  if (version != "HTTP/1.1" && version != "HTTP/1.0") return false;
-  message_.keep_alive = version == "HTTP/1.1";
-  auto printable = [](unsigned char c) { return c > 0x20 && c < 0x7f; };
-  return is_token(message_.method) && message_.target.starts_with('/') &&
-         std::all_of(message_.target.begin(), message_.target.end(), printable);
+  message_.keep_alive = version == kHttp11;
+  return (version == kHttp11 || version == kHttp10) && is_token(message_.method) &&
+         is_target(message_.target);
 }
 
-void HttpParser::header_line(std::string_view line) {
-  auto colon = line.find(':');
+void HttpParser::on_header(std::string_view line) {
+  const auto colon = line.find(':');
   // A folded line starts with a blank and so is no token: refused, as it can hide a second length.
-  if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return fail(400);
-  auto value = trim(line.substr(colon + 1));
-  auto control = [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; };
-  if (std::any_of(value.begin(), value.end(), control)) return fail(400);
+  if (colon == std::string_view::npos || !is_token(line.substr(0, colon)))
+    return fail(http_status::kBadRequest);
+  const auto value = trim(line.substr(colon + 1));
+  if (has_control_char(value)) return fail(http_status::kBadRequest);
   message_.headers.push_back({lower(line.substr(0, colon)), std::string(value)});
 }
 
-void HttpParser::head_done() {
-  std::optional<std::size_t> length;
-  bool chunked = false;
+void HttpParser::on_headers_complete() {
+  const std::optional<BodyFraming> framing = read_framing();
+  if (!framing) return;
+  if (kind_ == Kind::request) return start_body(*framing);
+  if (message_.status < http_status::kFirstFinal) {
+    // An interim response: the real one follows.
+    message_ = {};
+    head_bytes_ = 0;
+    state_ = State::start_line;
+  } else if (message_.status == http_status::kNoContent || message_.status == http_status::kNotModified) {
+    state_ = State::complete;
+  } else {
+    start_body(*framing);
+  }
+}
+
+std::optional<HttpParser::BodyFraming> HttpParser::read_framing() {
+  BodyFraming framing;
   for (const auto& [name, value] : message_.headers) {
     if (name == "content-length") {
-      auto parsed = parse_number(value, 10);
-      // Two different lengths would let two readers see two different messages.
-      if (!parsed || (length && *length != *parsed)) return fail(400);
-      length = parsed;
+      if (!read_content_length(value, framing)) return std::nullopt;
     } else if (name == "transfer-encoding") {
-      if (chunked || lower(value) != "chunked") return fail(kind_ == Kind::request ? 501 : 400);
-      chunked = true;
+      if (!read_transfer_encoding(value, framing)) return std::nullopt;
     } else if (name == "connection") {
-      auto wish = lower(value);
-      if (wish.find("close") != std::string::npos) message_.keep_alive = false;
-      if (wish.find("keep-alive") != std::string::npos) message_.keep_alive = true;
+      read_connection(value);
     }
   }
-  if (chunked && length) return fail(400);
-  if (kind_ == Kind::response &&
-      (message_.status < 200 || message_.status == 204 || message_.status == 304)) {
-    if (message_.status < 200) {  // an interim response: the real one follows
-      message_ = {};
-      have_start_ = false;
-      head_bytes_ = 0;
-    } else {
-      state_ = State::complete;
-    }
-    return;
+  if (framing.chunked && framing.length) {
+    fail(http_status::kBadRequest);
+    return std::nullopt;
+  }
+  return framing;
+}
+
+bool HttpParser::read_content_length(const std::string& value, BodyFraming& framing) {
+  const auto length = parse_number(value, kDecimal);
+  // Two different lengths would let two readers see two different messages.
+  if (!length || (framing.length && *framing.length != *length)) {
+    fail(http_status::kBadRequest);
+    return false;
   }
-  if (chunked) {
+  framing.length = length;
+  return true;
+}
+
+bool HttpParser::read_transfer_encoding(const std::string& value, BodyFraming& framing) {
+  if (framing.chunked || lower(value) != "chunked") {
+    fail(kind_ == Kind::request ? http_status::kNotImplemented : http_status::kBadRequest);
+    return false;
+  }
+  framing.chunked = true;
+  return true;
+}
+
+void HttpParser::read_connection(const std::string& value) {
+  const std::string options = lower(value);
+  if (options.find("close") != std::string::npos) message_.keep_alive = false;
+  if (options.find("keep-alive") != std::string::npos) message_.keep_alive = true;
+}
+
+void HttpParser::start_body(const BodyFraming& framing) {
+  if (framing.chunked) {
     state_ = State::chunk_size;
-  } else if (length) {
-    if (*length > max_body_) return fail(413);
-    remaining_ = *length;
+  } else if (framing.length) {
+    if (*framing.length > max_body_bytes_) return fail(http_status::kContentTooLarge);
+    remaining_ = *framing.length;
     state_ = remaining_ == 0 ? State::complete : State::body;
   } else if (kind_ == Kind::response) {
     message_.keep_alive = false;
@@ -202,19 +266,14 @@
   }
 }
 
-void HttpParser::append_body(std::string_view bytes) {
-  if (message_.body.size() + bytes.size() > max_body_) return fail(413);
-  message_.body.append(bytes);
-}
-
-void HttpParser::finish() {
-  if (state_ == State::until_close) state_ = State::complete;
-}
-
-HttpMessage HttpParser::take() {
-  auto out = std::exchange(message_, {});
-  *this = HttpParser(kind_, max_body_);
-  return out;
+void HttpParser::on_chunk_size(std::string_view line) {
+  // What follows a semicolon is an extension of the chunk, of no meaning here.
+  const auto size = parse_number(trim(line.substr(0, line.find(';'))), kHexadecimal);
+  if (!size) return fail(http_status::kBadRequest);
+  if (*size > max_body_bytes_) return fail(http_status::kContentTooLarge);
+  remaining_ = *size;
+  head_bytes_ = 0;
+  state_ = *size == 0 ? State::trailers : State::chunk_data;
 }
 
 }  // namespace dockdyke::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -2,113 +2,101 @@
 
 #include <sys/socket.h>
 
-#include <array>
 #include <cerrno>
-#include <string_view>
+#include <chrono>
+#include <utility>
 
 #include "constants.hpp"
+#include "net/http_status.hpp"
 
 namespace dockdyke::net {
 
 namespace {
 
-std::string_view reason(int status) {
-  switch (status) {
-    case 200:
-      return "OK";
-    case 201:
-      return "Created";
-    case 400:
-      return "Bad Request";
-    case 404:
-      return "Not Found";
-    case 405:
-      return "Method Not Allowed";
-    case 408:
-      return "Request Timeout";
-    case 413:
-      return "Content Too Large";
-    case 421:
-      return "Misdirected Request";
-    case 422:
-      return "Unprocessable Content";
-    case 431:
-      return "Request Header Fields Too Large";
-    case 501:
-      return "Not Implemented";
-    case 503:
-      return "Service Unavailable";
-    default:
-      return "Status";
-  }
-}
+using namespace std::chrono_literals;
 
-struct Accepted {
-  Readiness& readiness;
-  bool await_ready() const { return readiness.readable; }
+// Pause before more waiting connections are accepted, so that those that are served get their turn.
+constexpr auto kAcceptPause = 1ms;
+// The same when none could be accepted since the process has no descriptor left.
+constexpr auto kNoDescriptorPause = 50ms;
+// Time that a peer which is refused a connection has to take the response.
+constexpr auto kRefusalWriteTimeout = 1s;
+
+// Awaited, waits until a connection can be accepted.
+struct ConnectionWaiting {
+  Readiness& listener;
+  bool await_ready() const { return listener.readable; }
   void await_suspend(std::coroutine_handle<> waiting) {
-    readiness.on_readable = [waiting] { waiting.resume(); };
+    listener.on_readable = [waiting] { waiting.resume(); };
   }
   void await_resume() const {}
 };
 
 }  // namespace
 
-std::string serialize(const HttpResponse& response, bool keep_alive) {
-  std::string out = "HTTP/1.1 " + std::to_string(response.status) + " ";
-  out += reason(response.status);
-  out += "\r\nContent-Length: " + std::to_string(response.body.size());
-  if (!response.body.empty()) out += "\r\nContent-Type: application/msgpack";
-  if (response.retry_after_s) out += "\r\nRetry-After: " + std::to_string(*response.retry_after_s);
-  if (!keep_alive) out += "\r\nConnection: close";
-  out += "\r\n\r\n";
-  out += response.body;
-  return out;
-}
+// Owned by the coroutine that serves it.
+struct HttpServer::Connection {
+  Socket socket;
+  HttpParser parser;
+  std::string unparsed;  // received, but not yet taken by the parser
+};
 
 HttpServer::HttpServer(Loop& loop, Address address, std::size_t max_connections, Handler handler)
     : loop_(loop),
-      listen_fd_(listen_on(address)),
+      listener_(listen_on(address)),
       max_connections_(max_connections),
       handler_(std::move(handler)),
       buffer_(constants::kReadBufferBytes) {
-  loop_.attach(listen_fd_, &readiness_);
+  loop_.attach(listener_.get(), &listener_readiness_);
+}
+
+HttpServer::~HttpServer() {
+  loop_.detach(listener_.get());
 }
 
 void HttpServer::start() {
-  spawn(accept_loop());
+  spawn(accept_connections());
 }
 
-Task<void> HttpServer::accept_loop() {
+Task<void> HttpServer::accept_connections() {
   for (;;) {
-    int taken = 0;
-    while (taken < constants::kMaxAcceptsPerTurn) {
-      int fd = ::accept4(listen_fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-      if (fd < 0) {
-        if (errno == EAGAIN || errno == EWOULDBLOCK) readiness_.readable = false;
-        break;
-      }
-      ++taken;
-      if (connections_ >= max_connections_) {
-        spawn(refuse(Socket(loop_, fd)));
-      } else {
-        ++connections_;
-        spawn(serve(Socket(loop_, fd)));
-      }
-    }
-    if (readiness_.readable) {
+    const int accepted = accept_waiting();
+    if (listener_readiness_.readable) {
       // More are waiting, or the process has no descriptor left: let the others work first.
-      co_await loop_.sleep(std::chrono::milliseconds(taken > 0 ? 1 : 50));
+      co_await loop_.sleep(accepted > 0 ? kAcceptPause : kNoDescriptorPause);
     } else {
-      co_await Accepted{readiness_};
+      co_await ConnectionWaiting{listener_readiness_};
+    }
+  }
+}
+
+int HttpServer::accept_waiting() {
+  int accepted = 0;
+  while (accepted < constants::kMaxAcceptsPerTurn) {
+    FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (!fd.valid()) {
+      if (errno == EAGAIN || errno == EWOULDBLOCK) listener_readiness_.readable = false;
+      break;
     }
+    ++accepted;
+    start_connection(Socket(loop_, std::move(fd)));
+  }
+  return accepted;
+}
+
+void HttpServer::start_connection(Socket socket) {
+  if (connections_ >= max_connections_) {
+    spawn(refuse(std::move(socket)));
+  } else {
+    ++connections_;
+    spawn(serve(std::move(socket)));
   }
 }
 
 Task<void> HttpServer::refuse(Socket socket) {
-  HttpResponse response{503, {}, constants::kRetryAfterSeconds};
+  const HttpResponse response{http_status::kServiceUnavailable, {}, constants::kRetryAfterSeconds};
   const auto bytes = serialize(response, false);
-  co_await socket.write_all(bytes, loop_.now() + std::chrono::seconds(1));
+  co_await socket.write_all(bytes, loop_.now() + kRefusalWriteTimeout);
 }
 
 bool HttpServer::crowded() const {
@@ -117,45 +105,49 @@
 }
 
 Task<void> HttpServer::serve(Socket socket) {
-  HttpParser parser(HttpParser::Kind::request, constants::kMaxRequestBodyBytes);
-  std::string pending;
+  Connection connection{
+      std::move(socket), HttpParser(HttpParser::Kind::request, constants::kMaxRequestBodyBytes), {}};
   bool open = true;
   while (open) {
-    TimePoint deadline = loop_.now() + constants::kIdleConnectionTimeout;
-    bool timing_request = false;
-    while (open) {
-      if (!pending.empty()) {
-        auto used = parser.feed(pending);
-        pending.erase(0, used);
-      }
-      if (parser.complete() || parser.error() != 0) break;
-      if (parser.started() && !timing_request) {
-        timing_request = true;
-        deadline = loop_.now() + constants::kRequestReadTimeout;
-      }
-      const ReadResult got = co_await socket.read_some(buffer_, deadline);
-      if (got.status != IoStatus::ok) {
-        open = false;
-      } else {
-        pending.append(buffer_.data(), got.size);
-      }
-    }
-    if (!open) break;
-    HttpResponse response;
-    bool keep_alive = false;
-    if (parser.error() != 0) {
-      response.status = parser.error();
-    } else {
-      auto request = parser.take();
-      const bool asked_to_keep = request.keep_alive;
-      response = co_await handler_(std::move(request));
-      keep_alive = asked_to_keep && !crowded();
-    }
-    const auto bytes = serialize(response, keep_alive);
-    const IoStatus sent = co_await socket.write_all(bytes, loop_.now() + constants::kResponseWriteTimeout);
-    open = keep_alive && sent == IoStatus::ok;
+    open = co_await read_request(connection);
+    if (open) open = co_await answer_request(connection);
   }
   --connections_;
 }
 
+Task<bool> HttpServer::read_request(Connection& connection) {
+  HttpParser& parser = connection.parser;
+  TimePoint deadline = loop_.now() + constants::kIdleConnectionTimeout;
+  bool request_started = false;
+  for (;;) {
+    const std::size_t parsed = parser.feed(connection.unparsed);
+    connection.unparsed.erase(0, parsed);
+    if (parser.complete() || parser.error() != 0) co_return true;
+    if (parser.started() && !request_started) {
+      request_started = true;
+      deadline = loop_.now() + constants::kRequestReadTimeout;
+    }
+    const IoResult received = co_await connection.socket.read_some(buffer_, deadline);
+    if (!received) co_return false;
+    connection.unparsed.append(buffer_.data(), received.size);
+  }
+}
+
+Task<bool> HttpServer::answer_request(Connection& connection) {
+  HttpResponse response;
+  bool keep_alive = false;
+  if (connection.parser.error() != 0) {
+    response.status = connection.parser.error();
+  } else {
+    HttpMessage request = connection.parser.take();
+    const bool client_keeps_alive = request.keep_alive;
+    response = co_await handler_(std::move(request));
+    keep_alive = client_keeps_alive && !crowded();
+  }
+  const auto bytes = serialize(response, keep_alive);
+  const TimePoint deadline = loop_.now() + constants::kResponseWriteTimeout;
+  const IoResult sent = co_await connection.socket.write_all(bytes, deadline);
+  co_return keep_alive&& sent;
+}
+
 }  // namespace dockdyke::net
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -1,14 +1,12 @@
 #include "net/socket.hpp"
 
-#include <arpa/inet.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
 #include <cerrno>
-#include <charconv>
 #include <system_error>
+#include <utility>
 
 #include "constants.hpp"
 
@@ -24,42 +22,50 @@
   return out;
 }
 
-void disable_delay(int fd) {
-  int on = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+FileDescriptor open_tcp_socket() {
+  return FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-}  // namespace
+// Requests and responses are written whole; holding their last segment back would only delay them.
+void disable_nagle(int fd) {
+  const int on = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+}
 
-std::optional<Address> Address::parse(std::string_view text) {
-  auto colon = text.rfind(':');
-  if (colon == std::string_view::npos) return std::nullopt;
-  in_addr ip{};
-  if (::inet_pton(AF_INET, std::string(text.substr(0, colon)).c_str(), &ip) != 1) return std::nullopt;
-  auto digits = text.substr(colon + 1);
-  std::uint16_t port = 0;
-  auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
-  if (error != std::errc{} || end != digits.data() + digits.size() || port == 0) return std::nullopt;
-  return Address{ntohl(ip.s_addr), port};
+bool would_block(int error_number) {
+  return error_number == EAGAIN || error_number == EWOULDBLOCK;
 }
 
-std::string Address::text() const {
-  std::string out;
-  for (int shift = 24; shift >= 0; shift -= 8) {
-    out += std::to_string((ip >> shift) & 0xff);
-    if (shift > 0) out += '.';
+IoResult failed_with(int error_number) {
+  switch (error_number) {
+    case EPIPE:
+      return {IoStatus::closed, 0, error_number};
+    case ECONNRESET:
+      return {IoStatus::reset, 0, error_number};
+    case ECONNREFUSED:
+      return {IoStatus::refused, 0, error_number};
+    default:
+      return {IoStatus::failed, 0, error_number};
   }
-  return out + ":" + std::to_string(port);
 }
 
+// The outcome of a connection attempt that the system has finished: 0 or an error number.
+int pending_error(int fd) {
+  int error = 0;
+  socklen_t size = sizeof error;
+  if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
+  return error;
+}
+
+}  // namespace
+
 Socket::State::~State() {
-  loop->detach(fd);
-  ::close(fd);
+  loop->detach(fd.get());
 }
 
-Socket::Socket(Loop& loop, int fd) : state_(new State{&loop, fd, {}}) {
-  loop.attach(fd, &state_->readiness);
-  disable_delay(fd);
+Socket::Socket(Loop& loop, FileDescriptor fd) : state_(new State{&loop, std::move(fd), {}}) {
+  loop.attach(state_->fd.get(), &state_->readiness);
+  disable_nagle(state_->fd.get());
 }
 
 Socket::~Socket() = default;
@@ -70,6 +76,8 @@
 }
 
 auto Socket::ready(Direction direction, TimePoint deadline) {
+  // Lives in the frame of the suspended coroutine. Whichever of event and timer comes first removes the
+  // other.
   struct Awaiter {
     State& state;
     bool reading;
@@ -79,8 +87,8 @@
 
     bool await_ready() const { return reading ? state.readiness.readable : state.readiness.writable; }
     void await_suspend(std::coroutine_handle<> waiting) {
-      auto& slot = reading ? state.readiness.on_readable : state.readiness.on_writable;
-      slot = [this, waiting] {
+      auto& on_ready = reading ? state.readiness.on_readable : state.readiness.on_writable;
+      on_ready = [this, waiting] {
         if (timer) state.loop->cancel(*timer);
         waiting.resume();
       };
@@ -95,76 +103,78 @@
   return Awaiter{*state_, direction == Direction::read, deadline, std::nullopt};
 }
 
-Task<std::optional<Socket>> Socket::connect(Loop& loop, Address to, TimePoint deadline) {
-  int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) co_return std::nullopt;
+Task<ConnectResult> Socket::connect(Loop& loop, Address to, TimePoint deadline) {
+  FileDescriptor fd = open_tcp_socket();
+  if (!fd.valid()) co_return ConnectResult{failed_with(errno), std::nullopt};
   auto target = to_sockaddr(to);
-  const int result = ::connect(fd, reinterpret_cast<sockaddr*>(&target), sizeof target);
-  const int connect_error = result == 0 ? 0 : errno;
-  std::optional<Socket> out(std::in_place, loop, fd);
-  if (result != 0) {
-    if (connect_error != EINPROGRESS) co_return std::nullopt;
-    out->state_->readiness.writable = false;
-    const bool in_time = co_await out->ready(Direction::write, deadline);
-    if (!in_time) co_return std::nullopt;
-    int error = 0;
-    socklen_t size = sizeof error;
-    if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0 || error != 0) co_return std::nullopt;
+  const int connected = ::connect(fd.get(), reinterpret_cast<sockaddr*>(&target), sizeof target);
+  const int connect_error = connected == 0 ? 0 : errno;
+  if (connect_error != 0 && connect_error != EINPROGRESS)
+    co_return ConnectResult{failed_with(connect_error), std::nullopt};
+  Socket socket(loop, std::move(fd));
+  if (connect_error == EINPROGRESS) {
+    socket.state_->readiness.writable = false;
+    const bool in_time = co_await socket.ready(Direction::write, deadline);
+    if (!in_time) co_return ConnectResult{{IoStatus::timeout, 0, 0}, std::nullopt};
+    const int error = pending_error(socket.state_->fd.get());
+    if (error != 0) co_return ConnectResult{failed_with(error), std::nullopt};
   }
-  co_return out;
+  co_return ConnectResult{{}, std::move(socket)};
 }
 
-Task<ReadResult> Socket::read_some(std::span<char> buffer, TimePoint deadline) {
+Task<IoResult> Socket::read_some(std::span<char> buffer, TimePoint deadline) {
   for (;;) {
-    auto got = ::recv(state_->fd, buffer.data(), buffer.size(), 0);
-    if (got > 0) co_return ReadResult{IoStatus::ok, static_cast<std::size_t>(got)};
-    if (got == 0) co_return ReadResult{IoStatus::closed, 0};
-    if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return ReadResult{IoStatus::closed, 0};
+    const auto received = ::recv(state_->fd.get(), buffer.data(), buffer.size(), 0);
+    if (received > 0) co_return IoResult{IoStatus::ok, static_cast<std::size_t>(received), 0};
+    if (received == 0) co_return IoResult{IoStatus::closed, 0, 0};
+    const int error = errno;
+    if (error == EINTR) continue;
+    if (!would_block(error)) co_return failed_with(error);
     state_->readiness.readable = false;
     const bool in_time = co_await ready(Direction::read, deadline);
-    if (!in_time) co_return ReadResult{IoStatus::timeout, 0};
+    if (!in_time) co_return IoResult{IoStatus::timeout, 0, 0};
   }
 }
 
-Task<IoStatus> Socket::write_all(std::string_view bytes, TimePoint deadline) {
+Task<IoResult> Socket::write_all(std::string_view bytes, TimePoint deadline) {
+  const std::size_t size = bytes.size();
   while (!bytes.empty()) {
-    auto sent = ::send(state_->fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
+    const auto sent = ::send(state_->fd.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
     if (sent >= 0) {
       bytes.remove_prefix(static_cast<std::size_t>(sent));
       continue;
     }
-    if (errno == EINTR) continue;
-    if (errno != EAGAIN && errno != EWOULDBLOCK) co_return IoStatus::closed;
+    const int error = errno;
+    if (error == EINTR) continue;
+    if (!would_block(error)) co_return failed_with(error);
     state_->readiness.writable = false;
     const bool in_time = co_await ready(Direction::write, deadline);
-    if (!in_time) co_return IoStatus::timeout;
+    if (!in_time) co_return IoResult{IoStatus::timeout, size - bytes.size(), 0};
   }
-  co_return IoStatus::ok;
+  co_return IoResult{IoStatus::ok, size, 0};
 }
 
 bool Socket::stale() {
   // Readiness is edge-triggered and remembered, so this asks the kernel only when something happened.
   if (!state_->readiness.readable) return false;
   char byte;
-  auto got = ::recv(state_->fd, &byte, 1, MSG_PEEK);
-  if (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
+  const auto received = ::recv(state_->fd.get(), &byte, 1, MSG_PEEK);
+  if (received < 0 && would_block(errno)) {
     state_->readiness.readable = false;
     return false;
   }
   return true;
 }
 
-int listen_on(Address address) {
-  int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) throw std::system_error(errno, std::generic_category(), "socket");
-  int on = 1;
-  ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+FileDescriptor listen_on(Address address) {
+  FileDescriptor fd = open_tcp_socket();
+  if (!fd.valid()) throw std::system_error(errno, std::generic_category(), "socket");
+  const int on = 1;
+  ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   auto local = to_sockaddr(address);
-  if (::bind(fd, reinterpret_cast<sockaddr*>(&local), sizeof local) != 0 ||
-      ::listen(fd, constants::kListenBacklog) != 0) {
-    int error = errno;
-    ::close(fd);
+  if (::bind(fd.get(), reinterpret_cast<sockaddr*>(&local), sizeof local) != 0 ||
+      ::listen(fd.get(), constants::kListenBacklog) != 0) {
+    const int error = errno;
     throw std::system_error(error, std::generic_category(), "listening on " + address.text());
   }
   return fd;
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -47,7 +47,7 @@
 void Election::step_down() {
   if (!leadership_) return;
   leadership_.reset();
-  leadership_ended_.ring();
+  leadership_ended_.notify();
   listener_.on_lost();
 }
 
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -4,12 +4,13 @@
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
-#include <unistd.h>
 
 #include <memory>
 #include <vector>
 
+#include "net/file_descriptor.hpp"
 #include "net/http_client.hpp"
+#include "net/http_status.hpp"
 #include "net/loop.hpp"
 
 namespace dockdyke::testing {
@@ -18,14 +19,13 @@
 
 // A port of the loopback address that nobody uses at the moment.
 net::Address free_address() {
-  const int probe = ::socket(AF_INET, SOCK_STREAM, 0);
+  const net::FileDescriptor probe(::socket(AF_INET, SOCK_STREAM, 0));
   sockaddr_in local{};
   local.sin_family = AF_INET;
   local.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
   socklen_t size = sizeof local;
-  EXPECT_EQ(::bind(probe, reinterpret_cast<sockaddr*>(&local), size), 0);
-  EXPECT_EQ(::getsockname(probe, reinterpret_cast<sockaddr*>(&local), &size), 0);
-  ::close(probe);
+  EXPECT_EQ(::bind(probe.get(), reinterpret_cast<sockaddr*>(&local), size), 0);
+  EXPECT_EQ(::getsockname(probe.get(), reinterpret_cast<sockaddr*>(&local), &size), 0);
   return {INADDR_LOOPBACK, ntohs(local.sin_port)};
 }
 
@@ -45,7 +45,7 @@
   net::Task<void> ask_repeatedly(std::size_t peer, int times) {
     for (int i = 0; i < times; ++i) {
       net::CallResult result = co_await clients[peer]->call(address, "GET", "/", {}, std::chrono::seconds(2));
-      if (result.response && result.response->status == 200) ++answered[peer];
+      if (result.response && result.response->status == net::http_status::kOk) ++answered[peer];
       co_await loop.sleep(std::chrono::milliseconds(100));
     }
     ++finished;
