--- a/src/net/http_parser.hpp
+++ b/src/net/http_parser.hpp
@@ -37,9 +37,9 @@
   enum class State {
     start_line,
     headers,
-    body,         // of a stated length
-    chunk_size,   // the line before a chunk's data
-    chunk_data,   //
+    body,        // of a stated length
+    chunk_size,  // the line before a chunk's data
+    chunk_data,
     chunk_end,    // the line end after a chunk's data
     trailers,     // headers after the last chunk; ignored
     until_close,  // a body that ends with the connection
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -18,13 +18,11 @@
 //   - A coroutine that is awaited at once may take references to variables of the one that awaits it.
 //   - A lambda that is a coroutine may capture only what, as the lambda itself, outlives the coroutine:
 //     captures are part of the lambda, not of the frame. Otherwise it passes everything as parameters.
-//   - A view, span or iterator is kept across a suspension only into what this coroutine owns, or the one
-//   that
-//     awaits it.
-//   - A result is stored in a named variable before it is tested, and an argument that is an aggregate is a
-//   named
-//     variable as well: GCC 12 copies an aggregate written in braces within an expression with co_await byte
-//     by byte, and its strings are freed twice.
+//   - A view, span or iterator is kept across a suspension only into what this coroutine owns or the one that
+//     awaits it owns.
+//   - A result is stored in a named variable before it is tested, and an aggregate is passed in a named
+//     variable as well: GCC 12 copies one written in braces within an expression with co_await byte by byte,
+//     and its strings are freed twice.
 //
 // What may change across a suspension
 //   - Everything runs on the thread of one event loop, so nothing changes between two suspensions and there
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -58,6 +58,7 @@
   queue_.emplace(position, QueuedCall{cost, acquired});
   serve_queue();
   const auto answer = co_await acquired.wait_until(deadline);
+  // The position is of this call alone, so it still names its entry, which serve_queue() has not removed.
   if (!answer) queue_.erase(position);
   co_return answer.has_value();
 }
--- a/src/store/service_call.hpp
+++ b/src/store/service_call.hpp
@@ -22,10 +22,12 @@
 
 // The answer to a request, before its status has been given a meaning.
 struct ServiceReply {
-  net::CallError call;      // what was asked, and the status if there was a response
-  bool never_sent = false;  // no byte of the request can have reached the service
-  std::optional<wire::Json>
-      body;  // null for an empty body; nothing when there is no response or no MessagePack
+  // What was asked, and the status if there was a response.
+  net::CallError call;
+  // True when no byte of the request can have reached the service.
+  bool never_sent = false;
+  // Null for an empty body; nothing when there is no response or its body is not MessagePack.
+  std::optional<wire::Json> body;
 };
 
 // Sends the request and decodes the response. The transport must outlive the call.
--- a/tests/http_server_test.cpp
+++ b/tests/http_server_test.cpp
@@ -5,7 +5,9 @@
 #include <netinet/in.h>
 #include <sys/socket.h>
 
+#include <array>
 #include <memory>
+#include <string>
 #include <vector>
 
 #include "net/file_descriptor.hpp"
@@ -51,6 +53,27 @@
     ++finished;
   }
 
+  // Sends the bytes on a connection of its own and collects what comes back until the server closes it.
+  net::Task<void> send_raw(std::string bytes) {
+    const auto deadline = loop.now() + std::chrono::seconds(5);
+    net::ConnectResult connection = co_await net::Socket::connect(loop, address, deadline);
+    if (!connection.socket) co_return;
+    const net::IoResult sent = co_await connection.socket->write_all(bytes, deadline);
+    bool open = static_cast<bool>(sent);
+    std::array<char, 256> buffer{};
+    while (open) {
+      const net::IoResult received = co_await connection.socket->read_some(buffer, deadline);
+      raw_response.append(buffer.data(), received.size);
+      open = static_cast<bool>(received);
+    }
+    ++finished;
+  }
+  void run_until_finished(std::size_t count) {
+    const auto end = net::Clock::now() + std::chrono::seconds(10);
+    while (finished < count && net::Clock::now() < end) loop.turn(std::chrono::milliseconds(5));
+    EXPECT_EQ(finished, count);
+  }
+
   void run_peers(std::size_t peers, int times) {
     answered.assign(peers, 0);
     for (std::size_t peer = 0; peer < peers; ++peer) {
@@ -70,6 +93,7 @@
   std::vector<std::unique_ptr<net::HttpClient>> clients;
   std::vector<int> answered;  // by peer
   std::size_t finished = 0;
+  std::string raw_response;
 };
 
 }  // namespace
@@ -89,4 +113,38 @@
   EXPECT_EQ(server.connections(), kPeers);
 }
 
+TEST_F(HttpServerTest, AMalformedRequestIsAnsweredAndItsConnectionClosed) {
+  net::spawn(send_raw("nonsense\r\n\r\nGET / HTTP/1.1\r\n\r\n"));
+  run_until_finished(1);
+  EXPECT_EQ(raw_response, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+  EXPECT_EQ(server.connections(), 0u);
+}
+
+TEST_F(HttpServerTest, RequestsOfOneConnectionAreAnsweredInTurn) {
+  net::spawn(send_raw("GET /a HTTP/1.1\r\n\r\nGET /b HTTP/1.1\r\nConnection: close\r\n\r\n"));
+  run_until_finished(1);
+  EXPECT_EQ(raw_response,
+            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+            "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+}
+
+TEST_F(HttpServerTest, OneConnectionTooManyIsRefusedWithRetryAfter) {
+  std::vector<net::ConnectResult> open;
+  auto connect = [](net::Loop* on, net::Address to, std::vector<net::ConnectResult>* out) -> net::Task<void> {
+    net::ConnectResult connection =
+        co_await net::Socket::connect(*on, to, on->now() + std::chrono::seconds(5));
+    out->push_back(std::move(connection));
+  };
+  for (std::size_t i = 0; i < kConnections; ++i) net::spawn(connect(&loop, address, &open));
+  const auto end = net::Clock::now() + std::chrono::seconds(10);
+  while (server.connections() < kConnections && net::Clock::now() < end)
+    loop.turn(std::chrono::milliseconds(5));
+  ASSERT_EQ(server.connections(), kConnections);
+  net::spawn(send_raw({}));
+  run_until_finished(1);
+  EXPECT_TRUE(raw_response.starts_with("HTTP/1.1 503 Service Unavailable\r\n")) << raw_response;
+  EXPECT_NE(raw_response.find("\r\nRetry-After: "), std::string::npos);
+  EXPECT_EQ(server.connections(), kConnections);
+}
+
 }  // namespace dockdyke::testing
