--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -84,8 +84,9 @@
 }
 
 void Loop::resume_ready() {
-  // Those that become ready meanwhile wait for the next turn, so that events and timers get theirs.
-  for (auto pending = ready_.size(); pending > 0; --pending) {
+  // Those that become ready meanwhile wait for the next turn, so that events and timers get theirs. The queue
+  // becomes shorter than expected when a coroutine destroys others that were ready.
+  for (auto pending = ready_.size(); pending > 0 && !ready_.empty(); --pending) {
     auto next = ready_.front();
     ready_.pop_front();
     next.resume();
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -7,6 +7,7 @@
 #include <deque>
 #include <functional>
 #include <map>
+#include <optional>
 
 #include "net/clock.hpp"
 #include "net/file_descriptor.hpp"
@@ -56,7 +57,7 @@
 
   // The time at which this turn began to handle its events.
   TimePoint now() const { return now_; }
-  // Milliseconds since 1970 by the time of day, or since the start of simulated time.
+  // Milliseconds since 1970, or the simulated time in milliseconds.
   std::int64_t time_of_day_ms() const;
 
   // Runs the action in the first turn at or after that time.
@@ -65,6 +66,8 @@
   void cancel(const TimerKey& key) { timers_.erase(key); }
   // Resumes the coroutine later in this turn or in the next one.
   void post(std::coroutine_handle<> ready) { ready_.push_back(ready); }
+  // Takes back the post() of a coroutine that is being destroyed.
+  void cancel_post(std::coroutine_handle<> ready) { std::erase(ready_, ready); }
 
   // Reports the descriptor's events to `readiness`, which must stay valid until detach(). Throws
   // std::system_error.
@@ -72,16 +75,29 @@
   void detach(int fd);
 
   // Awaited, resumes the coroutine after the given time; does not suspend for a time that is not positive.
-  struct Sleep {
-    Loop& loop;
-    Duration time;
-    bool await_ready() const noexcept { return time <= Duration::zero(); }
+  class Sleep {
+   public:
+    Sleep(Loop& loop, Duration time) : loop_(loop), time_(time) {}
+    Sleep(const Sleep&) = delete;
+    Sleep& operator=(const Sleep&) = delete;
+    ~Sleep() {
+      if (timer_) loop_.cancel(*timer_);
+    }
+    bool await_ready() const noexcept { return time_ <= Duration::zero(); }
     void await_suspend(std::coroutine_handle<> waiting) {
-      loop.at(loop.now() + time, [waiting] { waiting.resume(); });
+      timer_ = loop_.at(loop_.now() + time_, [this, waiting] {
+        timer_.reset();
+        waiting.resume();
+      });
     }
     void await_resume() const noexcept {}
+
+   private:
+    Loop& loop_;
+    Duration time_;
+    std::optional<TimerKey> timer_;  // while the coroutine is suspended
   };
-  Sleep sleep(Duration time) { return Sleep{*this, time}; }
+  Sleep sleep(Duration time) { return Sleep(*this, time); }
 
  private:
   Duration time_to_wait(Duration limit) const;
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -23,13 +23,20 @@
 constexpr auto kRefusalWriteTimeout = 1s;
 
 // Awaited, waits until a connection can be accepted.
-struct ConnectionWaiting {
-  Readiness& listener;
-  bool await_ready() const { return listener.readable; }
+class ConnectionWaiting {
+ public:
+  explicit ConnectionWaiting(Readiness& listener) : listener_(listener) {}
+  ConnectionWaiting(const ConnectionWaiting&) = delete;
+  ConnectionWaiting& operator=(const ConnectionWaiting&) = delete;
+  ~ConnectionWaiting() { listener_.on_readable = nullptr; }
+  bool await_ready() const { return listener_.readable; }
   void await_suspend(std::coroutine_handle<> waiting) {
-    listener.on_readable = [waiting] { waiting.resume(); };
+    listener_.on_readable = [waiting] { waiting.resume(); };
   }
   void await_resume() const {}
+
+ private:
+  Readiness& listener_;
 };
 
 }  // namespace
@@ -65,7 +72,7 @@
       // More are waiting, or the process has no descriptor left: let the others work first.
       co_await loop_.sleep(accepted > 0 ? kAcceptPause : kNoDescriptorPause);
     } else {
-      co_await ConnectionWaiting{listener_readiness_};
+      co_await ConnectionWaiting(listener_readiness_);
     }
   }
 }
--- a/src/net/one_shot.hpp
+++ b/src/net/one_shot.hpp
@@ -29,21 +29,7 @@
   bool same(const OneShot& other) const { return state_ == other.state_; }
 
   // Awaited, gives a copy of the value, or nothing when the deadline passed first.
-  auto wait_until(TimePoint deadline) const {
-    struct Awaiter {
-      std::shared_ptr<State> state;
-      TimePoint deadline;
-      bool await_ready() const noexcept { return state->value.has_value(); }
-      void await_suspend(std::coroutine_handle<> waiting) {
-        state->waiting = waiting;
-        state->timer = state->loop->at(deadline, [shared = state] {
-          if (shared->waiting) std::exchange(shared->waiting, {}).resume();
-        });
-      }
-      std::optional<T> await_resume() { return state->value; }
-    };
-    return Awaiter{state_, deadline};
-  }
+  auto wait_until(TimePoint deadline) const { return Awaiter(state_, deadline); }
 
  private:
   struct State {
@@ -52,6 +38,45 @@
     std::coroutine_handle<> waiting;
     std::optional<Loop::TimerKey> timer;
   };
+
+  class Awaiter {
+   public:
+    Awaiter(std::shared_ptr<State> state, TimePoint deadline)
+        : state_(std::move(state)), deadline_(deadline) {}
+    Awaiter(const Awaiter&) = delete;
+    Awaiter& operator=(const Awaiter&) = delete;
+    ~Awaiter() {
+      if (suspended_) cancel_wait();
+    }
+    bool await_ready() const noexcept { return state_->value.has_value(); }
+    void await_suspend(std::coroutine_handle<> waiting) {
+      suspended_ = waiting;
+      state_->waiting = waiting;
+      state_->timer = state_->loop->at(deadline_, [shared = state_] {
+        if (shared->waiting) std::exchange(shared->waiting, {}).resume();
+      });
+    }
+    std::optional<T> await_resume() {
+      suspended_ = {};
+      return state_->value;
+    }
+
+   private:
+    // The coroutine is destroyed while it waits, or after it was posted.
+    void cancel_wait() {
+      if (state_->waiting) {
+        state_->waiting = {};
+        state_->loop->cancel(*state_->timer);
+      } else {
+        state_->loop->cancel_post(suspended_);
+      }
+    }
+
+    std::shared_ptr<State> state_;
+    TimePoint deadline_;
+    std::coroutine_handle<> suspended_;
+  };
+
   std::shared_ptr<State> state_;
 };
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -78,29 +78,45 @@
 auto Socket::ready(Direction direction, TimePoint deadline) {
   // Lives in the frame of the suspended coroutine. Whichever of event and timer comes first removes the
   // other.
-  struct Awaiter {
-    State& state;
-    bool reading;
-    TimePoint deadline;
-    std::optional<Loop::TimerKey> timer;
-    bool in_time = true;
-
-    bool await_ready() const { return reading ? state.readiness.readable : state.readiness.writable; }
+  class Awaiter {
+   public:
+    Awaiter(State& state, bool reading, TimePoint deadline)
+        : loop_(*state.loop),
+          ready_(reading ? state.readiness.readable : state.readiness.writable),
+          on_ready_(reading ? state.readiness.on_readable : state.readiness.on_writable),
+          deadline_(deadline) {}
+    Awaiter(const Awaiter&) = delete;
+    Awaiter& operator=(const Awaiter&) = delete;
+    ~Awaiter() {
+      if (!timer_) return;
+      // The coroutine is destroyed while it waits.
+      loop_.cancel(*timer_);
+      on_ready_ = nullptr;
+    }
+    bool await_ready() const { return ready_; }
     void await_suspend(std::coroutine_handle<> waiting) {
-      auto& on_ready = reading ? state.readiness.on_readable : state.readiness.on_writable;
-      on_ready = [this, waiting] {
-        if (timer) state.loop->cancel(*timer);
+      on_ready_ = [this, waiting] {
+        loop_.cancel(*std::exchange(timer_, std::nullopt));
         waiting.resume();
       };
-      timer = state.loop->at(deadline, [this, waiting] {
-        (reading ? state.readiness.on_readable : state.readiness.on_writable) = nullptr;
-        in_time = false;
+      timer_ = loop_.at(deadline_, [this, waiting] {
+        timer_.reset();
+        on_ready_ = nullptr;
+        in_time_ = false;
         waiting.resume();
       });
     }
-    bool await_resume() const { return in_time; }
+    bool await_resume() const { return in_time_; }
+
+   private:
+    Loop& loop_;
+    const bool& ready_;
+    std::function<void()>& on_ready_;
+    TimePoint deadline_;
+    std::optional<Loop::TimerKey> timer_;  // while the coroutine is suspended
+    bool in_time_ = true;
   };
-  return Awaiter{*state_, direction == Direction::read, deadline, std::nullopt};
+  return Awaiter(*state_, direction == Direction::read, deadline);
 }
 
 Task<ConnectResult> Socket::connect(Loop& loop, Address to, TimePoint deadline) {
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -10,6 +10,9 @@
 //   - A spawned coroutine owns itself. It starts at once, within spawn(), and frees itself when it ends.
 //     Nothing cancels it: one that outlives the object it works for has to ask, after each suspension,
 //     whether that object is still in charge, and to end if it is not.
+//   - A coroutine spawned in a TaskScope (net/task_scope.hpp) belongs to the scope, which destroys it, where
+//     it is suspended, with itself. Every awaiter therefore takes back, in its destructor, what it has left
+//     with the loop.
 //
 // Lifetime of what a coroutine refers to
 //   - A coroutine that is spawned, or that may outlive the call that made it, takes its parameters by value.
--- a/src/net/wake_up.hpp
+++ b/src/net/wake_up.hpp
@@ -26,24 +26,47 @@
   void ring() { notify(); }
 
   // Awaited, returns after a notification or when the time has passed.
-  auto wait_for(Duration timeout) {
-    struct Awaiter {
-      WakeUp& wake_up;
-      Duration timeout;
-      bool await_ready() const noexcept { return wake_up.notified_; }
-      void await_suspend(std::coroutine_handle<> waiting) {
-        wake_up.waiting_ = waiting;
-        wake_up.timer_ = wake_up.loop_->at(wake_up.loop_->now() + timeout, [source = &wake_up] {
-          source->timer_.reset();
-          if (source->waiting_) std::exchange(source->waiting_, {}).resume();
-        });
-      }
-      void await_resume() noexcept { wake_up.notified_ = false; }
-    };
-    return Awaiter{*this, timeout};
-  }
+  auto wait_for(Duration timeout) { return Awaiter(*this, timeout); }
 
  private:
+  class Awaiter {
+   public:
+    Awaiter(WakeUp& wake_up, Duration timeout) : wake_up_(wake_up), timeout_(timeout) {}
+    Awaiter(const Awaiter&) = delete;
+    Awaiter& operator=(const Awaiter&) = delete;
+    ~Awaiter() {
+      if (suspended_) cancel_wait();
+    }
+    bool await_ready() const noexcept { return wake_up_.notified_; }
+    void await_suspend(std::coroutine_handle<> waiting) {
+      suspended_ = waiting;
+      wake_up_.waiting_ = waiting;
+      wake_up_.timer_ = wake_up_.loop_->at(wake_up_.loop_->now() + timeout_, [source = &wake_up_] {
+        source->timer_.reset();
+        if (source->waiting_) std::exchange(source->waiting_, {}).resume();
+      });
+    }
+    void await_resume() noexcept {
+      suspended_ = {};
+      wake_up_.notified_ = false;
+    }
+
+   private:
+    // The coroutine is destroyed while it waits, or after it was posted.
+    void cancel_wait() {
+      if (wake_up_.waiting_) {
+        wake_up_.waiting_ = {};
+        wake_up_.loop_->cancel(*std::exchange(wake_up_.timer_, std::nullopt));
+      } else {
+        wake_up_.loop_->cancel_post(suspended_);
+      }
+    }
+
+    WakeUp& wake_up_;
+    Duration timeout_;
+    std::coroutine_handle<> suspended_;
+  };
+
   Loop* loop_;
   bool notified_ = false;
   std::coroutine_handle<> waiting_;
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -56,10 +56,16 @@
   const QueuePosition position{priority, next_arrival_++};
   net::OneShot<bool> acquired(loop_);
   queue_.emplace(position, QueuedCall{cost, acquired});
+  // Removes the call when it ends by its deadline or its coroutine's destruction; usually serve_queue() has
+  // done so before. The position is of this call alone.
+  struct QueueGuard {
+    RateLimiter& limiter;
+    QueuePosition position;
+    ~QueueGuard() { limiter.queue_.erase(position); }
+  };
+  const QueueGuard guard{*this, position};
   serve_queue();
   const auto answer = co_await acquired.wait_until(deadline);
-  // The position is of this call alone, so it still names its entry, which serve_queue() has not removed.
-  if (!answer) queue_.erase(position);
   co_return answer.has_value();
 }
 
