--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -48,7 +48,7 @@
     cloud::Result<std::vector<MachineId>> granted = co_await context_.cloud().rent(request);
     spdlog::info("event=scale_out id={} type={} zone={} spot={} count={} outcome={} granted={}",
                  request.id.value, request.type, request.zone, request.spot, request.count,
-                 static_cast<int>(granted.outcome), granted.value.size());
+                 net::to_string(granted.outcome), granted.value.size());
     decided = granted.outcome != cloud::Outcome::unknown;
     if (granted) {
       context_.events().push(core::ScaleOutGranted{request.id, std::move(granted.value)});
@@ -73,7 +73,7 @@
     const cloud::Outcome outcome = co_await context_.cloud().remove(effect.machines);
     spdlog::info("event=scale_in record={} machines={} first={} outcome={}", effect.key,
                  effect.machines.size(), effect.machines.empty() ? "" : effect.machines.front().value,
-                 static_cast<int>(outcome));
+                 net::to_string(outcome));
     deleted = outcome == cloud::Outcome::ok;
     if (!deleted) co_await context_.loop().sleep(net::seconds(constants::kCloudRetryInterval));
   }
--- a/src/app/event_queue.hpp
+++ b/src/app/event_queue.hpp
@@ -21,7 +21,7 @@
   std::vector<core::Event> take() { return std::exchange(events_, {}); }
 
   // Wakes the main loop for something other than an event.
-  void wake() { wake_up_.ring(); }
+  void wake() { wake_up_.notify(); }
   // Waits until something is pushed or `wake` is called, for at most `limit`. One coroutine may wait.
   auto wait_for(net::Duration limit) { return wake_up_.wait_for(limit); }
 
--- a/src/app/heartbeat_handler.cpp
+++ b/src/app/heartbeat_handler.cpp
@@ -42,8 +42,7 @@
   // A later heartbeat of the machine means that it no longer waits for this response: the commands would be
   // lost.
   if (!context_.alive() || !state_machine_.awaits_response(heartbeat)) co_return service_unavailable();
-  const auto commands =
-      state_machine_.commands_for(heartbeat.machine, freshness_.may_start_tasks(), context_.now());
+  const auto commands = state_machine_.commands_for(heartbeat.machine, freshness_.may_start_tasks());
   state_machine_.response_sent(heartbeat.machine, context_.now());
   co_return json_response(net::http_status::kOk, wire::heartbeat_response(context_.token(), commands));
 }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -16,9 +16,6 @@
 using store::ServiceReply;
 using store::ServiceRequest;
 
-constexpr const char* kErrorField = "error";
-constexpr const char* kNoCapacityError = "no capacity";
-
 Outcome outcome_of(const ServiceReply& reply) {
   if (!reply.body) return Outcome::unknown;
   if (reply.call.status == http_status::kOk) return Outcome::ok;
@@ -29,8 +26,8 @@
 // An outage is answered with 503 too; only the stated error says that the request was looked at and that
 // there is no capacity.
 bool states_no_capacity(const ServiceReply& reply) {
-  return reply.call.status == http_status::kServiceUnavailable && reply.body && reply.body->is_object() &&
-         reply.body->value(kErrorField, wire::Json()) == kNoCapacityError;
+  return reply.call.status == http_status::kServiceUnavailable && reply.body &&
+         wire::is_no_capacity_error(*reply.body);
 }
 
 template <class T, class Parse>
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -223,8 +223,7 @@
 
 // ---- Responses to workers ---------------------------------------------------------------------------------
 
-std::vector<wire::Command> LeaderStateMachine::commands_for(const MachineId& machine, bool allow_starts,
-                                                            Time) {
+std::vector<wire::Command> LeaderStateMachine::commands_for(const MachineId& machine, bool allow_starts) {
   return worker_commands_.commands_for(machine, allow_starts);
 }
 
--- a/src/core/leader_state_machine.hpp
+++ b/src/core/leader_state_machine.hpp
@@ -62,7 +62,7 @@
   // ---- Responses to workers ----
   // The commands for the response to the machine's last heartbeat; starts count as dispatched from here on.
   // Without `allow_starts` (the leader's view may be stale) only tasks that are there are dealt with.
-  std::vector<wire::Command> commands_for(const MachineId& machine, bool allow_starts, Time now);
+  std::vector<wire::Command> commands_for(const MachineId& machine, bool allow_starts);
   // Why the response to the machine's last heartbeat should wait.
   ResponseHold response_hold(const MachineId& machine, Time now) const;
   // The heartbeat is the machine's last one and has not been answered.
--- a/src/net/wake_up.hpp
+++ b/src/net/wake_up.hpp
@@ -22,8 +22,6 @@
     timer_.reset();
     loop_->post(std::exchange(waiting_, {}));
   }
-  // The former name of notify().
-  void ring() { notify(); }
 
   // Awaited, returns after a notification or when the time has passed.
   auto wait_for(Duration timeout) { return Awaiter(*this, timeout); }
--- a/src/store/service_call.hpp
+++ b/src/store/service_call.hpp
@@ -11,6 +11,7 @@
 #include "net/result.hpp"
 #include "net/task.hpp"
 #include "wire/codec.hpp"
+#include "wire/malformed.hpp"
 
 namespace dockdyke::store {
 
