--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -45,7 +45,7 @@
   }
   bool decided = false;
   while (context_.alive() && !decided) {
-    cloud::Result<std::vector<MachineId>> granted = co_await context_.cloud().rent(request);
+    cloud::Result<std::vector<MachineId>> granted = co_await context_.cloud().scale_out(request);
     spdlog::info("event=scale_out id={} type={} zone={} spot={} count={} outcome={} granted={}",
                  request.id.value, request.type, request.zone, request.spot, request.count,
                  net::to_string(granted.outcome), granted.value.size());
@@ -70,7 +70,7 @@
   }
   bool deleted = false;
   while (context_.alive() && !deleted) {
-    const cloud::Outcome outcome = co_await context_.cloud().remove(effect.machines);
+    const cloud::Outcome outcome = co_await context_.cloud().scale_in(effect.machines);
     spdlog::info("event=scale_in record={} machines={} first={} outcome={}", effect.key,
                  effect.machines.size(), effect.machines.empty() ? "" : effect.machines.front().value,
                  net::to_string(outcome));
--- a/src/app/response_holds.hpp
+++ b/src/app/response_holds.hpp
@@ -12,7 +12,7 @@
 
 namespace dockdyke::app {
 
-// A response waits for a write that allows more commands, or, where the machine has room, for work.
+// A response waits for a write that allows more commands, or, where the machine has capacity, for work.
 class ResponseHolds {
  public:
   // At most `max_held` responses wait for work at the same time.
@@ -25,7 +25,7 @@
   void release_ready();
   void release_all();
   std::size_t size() const { return held_.size(); }
-  // Seconds for which the response to a machine with room waits for work.
+  // Seconds for which the response to a machine with capacity waits for work.
   double idle_hold_s() const;
 
  private:
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -82,7 +82,7 @@
   co_return all;
 }
 
-net::Task<Result<std::vector<MachineId>>> CloudClient::rent(wire::ScaleOutRequest request) {
+net::Task<Result<std::vector<MachineId>>> CloudClient::scale_out(wire::ScaleOutRequest request) {
   using Names = std::vector<MachineId>;
   ServiceRequest call_request{"POST", std::string(wire::path::kMachines),
                               wire::encode(wire::to_json(request))};
@@ -91,7 +91,7 @@
   co_return parse_reply_of_cloud<Names>(std::move(reply), wire::parse_machine_names);
 }
 
-net::Task<Outcome> CloudClient::remove(std::vector<MachineId> machines) {
+net::Task<Outcome> CloudClient::scale_in(std::vector<MachineId> machines) {
   ServiceRequest request{"POST", std::string(wire::path::kDelete),
                          wire::encode(wire::machine_names(machines))};
   ServiceReply reply = co_await call(std::move(request), RequestPriority::high);
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -36,10 +36,10 @@
 
   // Rents up to `request.count` machines and returns their names. Outcome::no_capacity when none is
   // available. A repeated request id that was answered rents nothing more.
-  net::Task<Result<std::vector<MachineId>>> rent(wire::ScaleOutRequest request);
+  net::Task<Result<std::vector<MachineId>>> scale_out(wire::ScaleOutRequest request);
 
   // Deletes machines. Outcome::ok: they and everything on them are gone. Unknown names are ignored.
-  net::Task<Outcome> remove(std::vector<MachineId> machines);
+  net::Task<Outcome> scale_in(std::vector<MachineId> machines);
 
  private:
   // Acquires a token of the rate limiter and sends the request. Without a token the reply has no status.
--- a/src/core/config.hpp
+++ b/src/core/config.hpp
@@ -58,6 +58,8 @@
   std::uint32_t free_machines = 0;
   std::uint32_t max_machines = 0;
 
+  // Bytes of a value that a record made of many entries may use: their sizes are only bounded from above.
+  std::size_t max_record_bytes() const;
   // Nothing where there is no such team.
   const Team* find_team(const std::string& name) const;
 };
--- a/src/core/gang_records.cpp
+++ b/src/core/gang_records.cpp
@@ -9,10 +9,7 @@
 namespace dockdyke::core {
 
 GangRecords::GangRecords(ClusterState& state, EffectQueue& effects)
-    : state_(state),
-      effects_(effects),
-      max_bytes_(state.config().max_value_bytes -
-                 std::min(state.config().max_value_bytes, constants::kSegmentMarginBytes)) {}
+    : state_(state), effects_(effects), max_bytes_(state.config().max_record_bytes()) {}
 
 Job* GangRecords::job_of(const GangAttemptRef& ref) const {
   Job* job = state_.find_job(ref.job);
--- a/src/core/task_log.cpp
+++ b/src/core/task_log.cpp
@@ -36,10 +36,7 @@
 }  // namespace
 
 TaskLog::TaskLog(ClusterState& state, EffectQueue& effects)
-    : state_(state),
-      effects_(effects),
-      max_bytes_(state.config().max_value_bytes -
-                 std::min(state.config().max_value_bytes, constants::kSegmentMarginBytes)) {}
+    : state_(state), effects_(effects), max_bytes_(state.config().max_record_bytes()) {}
 
 void TaskLog::mark_unpersisted(Job& job, TaskIndex index) {
   TaskProgress& task = job.tasks[index];
--- a/tests/store/service_clients_test.cpp
+++ b/tests/store/service_clients_test.cpp
@@ -44,7 +44,7 @@
   }
   net::Task<void> rent() {
     wire::ScaleOutRequest request;
-    cloud::Result<std::vector<MachineId>> result = co_await cloud.rent(std::move(request));
+    cloud::Result<std::vector<MachineId>> result = co_await cloud.scale_out(std::move(request));
     outcome = result.outcome;
     error = result.error;
   }
