--- a/src/app/frontend.cpp
+++ b/src/app/frontend.cpp
@@ -13,7 +13,7 @@
 
 using net::HttpResponse;
 using store::Outcome;
-using wire::Stage;
+using wire::JobState;
 
 HttpResponse answer(int status, const wire::Json& body) {
   return {status, wire::encode(body), std::nullopt};
@@ -24,8 +24,8 @@
 
 namespace {
 
-bool is_final(Stage stage) {
-  return stage == Stage::done || stage == Stage::cancelled;
+bool is_final(JobState state) {
+  return state == JobState::done || state == JobState::cancelled;
 }
 
 std::optional<wire::JobSpec> read_spec(const std::string& body) {
@@ -62,7 +62,7 @@
                            [&](const auto& each) { return each.name == spec.team; });
   if (team == config_.teams.end()) return false;
   // Tasks of an array may run one after the other; all others have to run together.
-  const auto claim = spec.each * (spec.shape == wire::Shape::array ? 1.0 : spec.tasks);
+  const auto claim = spec.task_resources * (spec.kind == wire::JobKind::array ? 1.0 : spec.task_count);
   const auto& limit = team->limit;
   if ((limit.cpus > 0 && claim.cpus > limit.cpus) || (limit.gpus > 0 && claim.gpus > limit.gpus))
     return false;
@@ -70,13 +70,13 @@
   for (const auto& type : types_) {
     const auto& allowed = spec.machine_types;
     if (allowed && std::find(allowed->begin(), allowed->end(), type.name) == allowed->end()) continue;
-    if (!spec.each.fits_into(type.size)) continue;
+    if (!spec.task_resources.fits_into(type.size)) continue;
     for (const auto& zone : type.zones)
       if (!spec.zone || *spec.zone == zone) zones.insert(zone);
   }
   // At most half of a spread gang's tasks, rounded up, may share a zone.
-  const bool two_zones = spec.shape == wire::Shape::gang && spec.spread && spec.tasks > 1;
-  return two_zones ? zones.size() > 1 && !spec.one_zone : !zones.empty();
+  const bool two_zones = spec.kind == wire::JobKind::gang && spec.spread && spec.task_count > 1;
+  return two_zones ? zones.size() > 1 && !spec.same_zone : !zones.empty();
 }
 
 void Frontend::drop_unknown_types(wire::JobSpec& spec) const {
@@ -108,7 +108,7 @@
     found.outcome = over.outcome;
     if (over) {
       const auto record = core::parse_final_record(over.value.value);
-      found.status = {record.stage, record.done, 0};
+      found.status = {record.state, record.done, 0};
       remember(id, found.status);
     }
   } catch (const wire::Malformed& error) {
@@ -152,35 +152,35 @@
   if (!can_run || !core::fits_value(record, config_.value_bytes)) {
     // A job that was accepted once stays accepted, whatever types and limits have come to be.
     Found found = co_await find(id, deadline);
-    if (found.outcome == Outcome::ok) co_return answer(200, wire::job_answer(id, found.status.stage));
+    if (found.outcome == Outcome::ok) co_return answer(200, wire::job_response(id, found.status.state));
     if (found.outcome == Outcome::missing) co_return HttpResponse{can_run ? 400 : 422, {}, std::nullopt};
     co_return come_back();
   }
   wire::Transaction txn;
-  txn.guards.push_back({core::key::open(id), Revision(0)});
-  txn.guards.push_back({core::key::over(id), Revision(0)});
+  txn.preconditions.push_back({core::key::open(id), Revision(0)});
+  txn.preconditions.push_back({core::key::over(id), Revision(0)});
   txn.puts.push_back({core::key::open(id), core::to_json(record), {}});
   store::Result<store::Committed> committed = co_await state_.commit(txn, store::Urgency::high, deadline);
   if (committed) {
     listener_.on_submitted(record, committed.value.revision);
-    co_return answer(201, wire::job_answer(id, Stage::pending));
+    co_return answer(201, wire::job_response(id, JobState::pending));
   }
   if (committed.outcome != Outcome::conflict && committed.outcome != Outcome::unknown) co_return come_back();
   // Known already, or unanswered: the store tells.
   Found found = co_await find(id, deadline);
   if (found.outcome != Outcome::ok) co_return come_back();
   if (found.open) listener_.on_submitted(*found.open, found.version);
-  co_return answer(200, wire::job_answer(id, found.status.stage));
+  co_return answer(200, wire::job_response(id, found.status.state));
 }
 
 net::Task<HttpResponse> Frontend::poll(JobId id) {
   if (auto known = finals_.find(id); known != finals_.end())
-    co_return answer(200, wire::job_status_answer(id, known->second));
+    co_return answer(200, wire::job_status_response(id, known->second));
   const peer::PolledJob polled = co_await polls_.ask(id, net::seconds(limits::kPollBudget));
   if (polled.status == 503) co_return come_back();
   if (polled.status != 200) co_return HttpResponse{polled.status, {}, std::nullopt};
-  if (is_final(polled.job.stage)) remember(id, polled.job);
-  co_return answer(200, wire::job_status_answer(id, polled.job));
+  if (is_final(polled.job.state)) remember(id, polled.job);
+  co_return answer(200, wire::job_status_response(id, polled.job));
 }
 
 net::Task<std::vector<peer::PolledJob>> Frontend::poll_for_peer(std::vector<JobId> ids) {
@@ -206,7 +206,7 @@
     co_return out;
   }
   // Jobs in the leader's books: one comparison tells of many that their records are unchanged.
-  const std::size_t most = limits::kGuardsPerChange * config_.txn_ops;
+  const std::size_t most = limits::kPreconditionsPerChange * config_.txn_ops;
   std::vector<std::size_t> others;
   std::size_t next = 0;
   while (next < ids.size()) {
@@ -219,13 +219,13 @@
         others.push_back(next);
         continue;
       }
-      compare.guards.push_back({core::key::open(ids[next]), progress->version});
+      compare.preconditions.push_back({core::key::open(ids[next]), progress->version});
       compared.push_back(next);
       statuses.push_back(progress->status);
     }
     if (compared.empty()) break;
     store::Result<store::Committed> held = co_await state_.commit(compare, store::Urgency::normal, deadline);
-    const auto& failed = held.value.failed_guards;
+    const auto& failed = held.value.failed_preconditions;
     if (!held && held.outcome != Outcome::conflict) continue;  // can't tell: 503
     for (std::size_t i = 0; i < compared.size(); ++i) {
       const bool changed =
@@ -253,15 +253,15 @@
     Found found = co_await find(id, deadline);
     if (found.outcome == Outcome::missing) co_return HttpResponse{404, {}, std::nullopt};
     if (found.outcome != Outcome::ok) co_return come_back();
-    if (is_final(found.status.stage) || !found.open)
-      co_return answer(200, wire::job_answer(id, found.status.stage));
+    if (is_final(found.status.state) || !found.open)
+      co_return answer(200, wire::job_response(id, found.status.state));
     const auto txn = core::cancellation(*found.open, found.version, found.status.done, loop_.time_of_day_ms(),
                                         config_.value_bytes);
     store::Result<store::Committed> committed = co_await state_.commit(txn, store::Urgency::high, deadline);
     if (committed) {
-      remember(id, {Stage::cancelled, found.status.done, 0});
+      remember(id, {JobState::cancelled, found.status.done, 0});
       listener_.on_cancelled(id);
-      co_return answer(200, wire::job_answer(id, Stage::cancelled));
+      co_return answer(200, wire::job_response(id, JobState::cancelled));
     }
     // Overtaken by a save of the leader, or unanswered: read and try again. Anything else is not carried out.
     if (committed.outcome != Outcome::conflict && committed.outcome != Outcome::unknown) break;
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -12,7 +12,7 @@
 
 namespace dockdyke::app {
 
-using core::Command;
+using core::Event;
 using net::HttpResponse;
 using store::Outcome;
 using store::Urgency;
@@ -39,7 +39,7 @@
 core::Time LeaderTerm::now() const {
   return seconds_of(services_.loop.now());
 }
-wire::Guard LeaderTerm::leader_guard() const {
+wire::Precondition LeaderTerm::leader_precondition() const {
   return {store::kLeaderKey, Revision(token().value)};
 }
 
@@ -64,15 +64,15 @@
   out.odd_s = limits::kDeafLeast;
   if (out.lasted_s < out.odd_s) return out;  // no need to count the machines
   out.machines = cluster_.machines_up();
-  const double round_s = limits::kReportRound * config_.report_s + idle_hold_s();
+  const double round_s = limits::kReportRound * config_.heartbeat_interval_s + idle_hold_s();
   const double few_s =
-      limits::kDeafReports * config_.report_s / std::max(1.0, static_cast<double>(out.machines));
+      limits::kDeafReports * config_.heartbeat_interval_s / std::max(1.0, static_cast<double>(out.machines));
   out.odd_s = std::max(out.odd_s, std::min(round_s, few_s));
   return out;
 }
 
 double LeaderTerm::idle_hold_s() const {
-  return std::min(limits::kIdleHold, limits::kIdleHoldShare * config_.report_s);
+  return std::min(limits::kIdleHold, limits::kIdleHoldShare * config_.heartbeat_interval_s);
 }
 
 void LeaderTerm::set_alone(bool alone) {
@@ -102,8 +102,8 @@
   listener_.on_overtaken();
 }
 
-void LeaderTerm::push(Command command) {
-  commands_.push_back(std::move(command));
+void LeaderTerm::push(Event event) {
+  events_.push_back(std::move(event));
   work_.ring();
 }
 
@@ -118,20 +118,20 @@
         may_save ? cluster.save_due_in(self->now()).value_or(limits::kHousekeeping) : limits::kHousekeeping;
     co_await self->work_.wait_for(net::seconds(std::min(limits::kHousekeeping, due_s)));
     if (!self->alive_) break;
-    auto commands = std::exchange(self->commands_, {});
-    auto reports = std::exchange(self->reports_, {});
+    auto events = std::exchange(self->events_, {});
+    auto heartbeats = std::exchange(self->heartbeats_, {});
     const auto now = self->now();
     bool recorded = false;
-    for (const auto& command : commands) {
-      cluster.apply(command, now);
-      recorded = recorded || std::holds_alternative<core::SaveDone>(command) ||
-                 std::holds_alternative<core::SaveConflict>(command);
+    for (const auto& event : events) {
+      cluster.apply(event, now);
+      recorded = recorded || std::holds_alternative<core::SaveDone>(event) ||
+                 std::holds_alternative<core::SaveConflict>(event);
     }
-    for (const auto& waiting : reports) {
-      const auto fate = cluster.take_report(waiting.report, now);
+    for (const auto& waiting : heartbeats) {
+      const auto fate = cluster.apply_heartbeat(waiting.heartbeat, now);
       waiting.fate.set(fate);
-      if (fate == core::ReportOutcome::taken) self->heard_at_ = self->services_.loop.now();
-      if (fate == core::ReportOutcome::overtaken) {
+      if (fate == core::HeartbeatOutcome::accepted) self->heard_at_ = self->services_.loop.now();
+      if (fate == core::HeartbeatOutcome::superseded) {
         self->overtaken();
         break;
       }
@@ -178,26 +178,27 @@
   }
 }
 
-net::Task<HttpResponse> LeaderTerm::report(wire::Report report) {
+net::Task<HttpResponse> LeaderTerm::heartbeat(wire::Heartbeat heartbeat) {
   const Self self = shared_from_this();
   auto& loop = services_.loop;
   // A leader cut off from the store must not keep alive for long what others may have cancelled meanwhile.
   const double alone_s = std::min(limits::kAlonePatience, limits::kAloneShare * patience_s());
   const bool cut_off = alone_since_ && loop.now() - *alone_since_ >= net::seconds(alone_s);
-  if (cut_off || staleness() >= patience_s() || reports_.size() >= limits::kReportQueue)
+  if (cut_off || staleness() >= patience_s() || heartbeats_.size() >= limits::kReportQueue)
     co_return come_back();
-  const net::OneShot<core::ReportOutcome> fate(loop);
-  reports_.push_back({report, fate});
+  const net::OneShot<core::HeartbeatOutcome> fate(loop);
+  heartbeats_.push_back({heartbeat, fate});
   work_.ring();
-  const std::optional<core::ReportOutcome> decided = co_await fate.wait_until(loop.now() + net::seconds(1));
-  if (!alive_ || decided != core::ReportOutcome::taken) co_return come_back();
-  co_await hold_answer(report.machine);
+  const std::optional<core::HeartbeatOutcome> decided =
+      co_await fate.wait_until(loop.now() + net::seconds(1));
+  if (!alive_ || decided != core::HeartbeatOutcome::accepted) co_return come_back();
+  co_await hold_answer(heartbeat.machine);
   // A later report of the machine means that it no longer waits for this answer: its orders would be lost.
-  if (!alive_ || !cluster_.awaits_answer(report)) co_return come_back();
-  const auto orders =
-      cluster_.orders_for(report.machine, staleness() < limits::kFreshForStarts * watch_hold_s(), now());
-  cluster_.answered(report.machine, now());
-  co_return answer(200, wire::report_answer(token(), orders));
+  if (!alive_ || !cluster_.awaits_answer(heartbeat)) co_return come_back();
+  const auto commands =
+      cluster_.commands_for(heartbeat.machine, staleness() < limits::kFreshForStarts * watch_hold_s(), now());
+  cluster_.answered(heartbeat.machine, now());
+  co_return answer(200, wire::heartbeat_response(token(), commands));
 }
 
 net::Task<void> LeaderTerm::keep_time(Self self) {
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -41,7 +41,7 @@
   // Nothing of this term goes on after its present call.
   void end();
 
-  Token token() const { return cluster_.token(); }
+  FencingToken token() const { return cluster_.token(); }
   void renewed(net::TimePoint asked_at) { renewed_at_ = std::max(renewed_at_, asked_at); }
   // For how long no worker has been heard, and from when on that is odd for the fleet there is.
   struct WorkerSilence {
@@ -54,15 +54,15 @@
   WorkerSilence silence() const;
   // Neither the store nor any other controller answers.
   void set_alone(bool alone);
-  void push(core::Command command);
-  net::Task<net::HttpResponse> report(wire::Report report);
+  void push(core::Event event);
+  net::Task<net::HttpResponse> heartbeat(wire::Heartbeat heartbeat);
   std::optional<core::Progress> progress(const JobId& id) const { return cluster_.progress(id); }
 
  private:
   using Self = std::shared_ptr<LeaderTerm>;
   struct WaitingReport {
-    wire::Report report;
-    net::OneShot<core::ReportOutcome> fate;
+    wire::Heartbeat heartbeat;
+    net::OneShot<core::HeartbeatOutcome> fate;
   };
 
   // Every loop takes a share of the term, so that the state outlives its last call.
@@ -83,7 +83,7 @@
 
   // All that a new leader reads, and the revision from which changes are to be watched.
   struct Records {
-    std::vector<core::Command> commands;
+    std::vector<core::Event> events;
     Revision revision;
 
     template <class Parse>
@@ -103,7 +103,7 @@
   static net::Task<void> remove_discarded(Self self);
   void note_final(const JobId& id);
   void overtaken();
-  wire::Guard leader_guard() const;
+  wire::Precondition leader_precondition() const;
   core::Time now() const;
   // Seconds since the last moment of which everything is known to us.
   double staleness() const;
@@ -119,8 +119,8 @@
   Listener listener_;
   bool alive_ = true;
   net::WakeUp work_;
-  std::vector<core::Command> commands_;
-  std::vector<WaitingReport> reports_;
+  std::vector<core::Event> events_;
+  std::vector<WaitingReport> heartbeats_;
   std::map<MachineId, net::OneShot<bool>> held_;  // answers that wait
   std::size_t saving_ = 0;
   std::deque<std::string> discarded_;  // keys to be removed when there is budget
--- a/src/app/leader_term_loader.cpp
+++ b/src/app/leader_term_loader.cpp
@@ -21,7 +21,7 @@
   // A record that can't be read must not end one leader after the other.
   for (const auto& item : page.items) {
     try {
-      commands.push_back(parse(item));
+      events.push_back(parse(item));
     } catch (const wire::Malformed& error) {
       spdlog::error("event=bad_record key={} what=\"{}\"", item.key, error.what());
     }
@@ -65,8 +65,9 @@
   if (!rents || !alive_) co_return false;
   store::Result<wire::KeyPage> returns = co_await services_.state.list(core::key::kReturnPrefix);
   if (!returns || !alive_) co_return false;
-  records.take(rents.value,
-               [](const wire::KeyValue& item) { return core::RentLoaded{wire::parse_rental(item.value)}; });
+  records.take(rents.value, [](const wire::KeyValue& item) {
+    return core::RentLoaded{wire::parse_scale_out_request(item.value)};
+  });
   records.take(returns.value, [](const wire::KeyValue& item) {
     return core::ReturnLoaded{item.key, wire::parse_machine_names(item.value)};
   });
@@ -84,11 +85,11 @@
     if (!done) co_await self->services_.loop.sleep(net::seconds(limits::kBackgroundRetry));
   }
   if (!self->alive_) co_return;
-  for (auto& command : records.commands) self->push(std::move(command));
+  for (auto& event : records.events) self->push(std::move(event));
   self->watch_from_ = records.revision;
   self->push(core::LoadDone{});
   spdlog::info("event=loaded token={} revision={} records={}", self->token().value, self->watch_from_.value,
-               records.commands.size());
+               records.events.size());
   net::spawn(watch(self));
 }
 
--- a/src/app/leader_term_writer.cpp
+++ b/src/app/leader_term_writer.cpp
@@ -26,7 +26,7 @@
 }
 
 net::Task<void> LeaderTerm::save(Self self, core::Save save) {
-  save.transaction.guards.push_back(self->leader_guard());
+  save.transaction.preconditions.push_back(self->leader_precondition());
   const Urgency urgency = save.urgent ? Urgency::high : Urgency::normal;
   while (self->alive_) {
     const auto deadline = self->services_.loop.now() + net::seconds(limits::kBackgroundPatience);
@@ -38,7 +38,7 @@
       self->push(core::SaveDone{save.number});
       break;
     }
-    auto& failed = committed.value.failed_guards;
+    auto& failed = committed.value.failed_preconditions;
     if (committed.outcome == Outcome::conflict) {
       if (std::find(failed.begin(), failed.end(), store::kLeaderKey) != failed.end()) {
         self->overtaken();
@@ -65,13 +65,13 @@
   const core::Job* job = cluster_.job(id);
   if (!job) return;
   spdlog::debug("event=job_done id={} class={} tasks={} estimate={:.0f} submitted={:.1f} took={:.1f}",
-                id.value, job->spec.job_class, job->spec.tasks, job->spec.estimate_s, job->submitted,
-                now() - job->submitted);
+                id.value, job->spec.job_class, job->spec.task_count, job->spec.estimated_run_s,
+                job->submitted, now() - job->submitted);
   if (job->is_gang())
     spdlog::debug("event=gang_done id={} attempts={} machines={} placed_after={:.2f} complete_after={:.2f}",
                   id.value, job->gang.number, job->gang.machines, job->gang.placed_at - job->submitted,
                   job->gang.running_at - job->submitted);
-  listener_.on_final(id, {wire::Stage::done, job->done_count, 0});
+  listener_.on_final(id, {wire::JobState::done, job->done_count, 0});
 }
 
 net::Task<void> LeaderTerm::look_up(Self self, JobId id) {
@@ -89,12 +89,12 @@
 }
 
 net::Task<bool> LeaderTerm::write_guarded(wire::Transaction transaction, Urgency urgency) {
-  transaction.guards.push_back(leader_guard());
+  transaction.preconditions.push_back(leader_precondition());
   while (alive_) {
     store::Result<store::Committed> committed = co_await services_.state.commit(
         transaction, urgency, services_.loop.now() + net::seconds(limits::kBackgroundPatience));
     if (committed) co_return alive_;
-    const auto& failed = committed.value.failed_guards;
+    const auto& failed = committed.value.failed_preconditions;
     if (committed.outcome == Outcome::conflict) {
       if (std::find(failed.begin(), failed.end(), store::kLeaderKey) != failed.end()) {
         overtaken();
@@ -110,7 +110,7 @@
 
 net::Task<bool> LeaderTerm::record(std::string key, wire::Json value, Urgency urgency) {
   wire::Transaction txn;
-  txn.guards.push_back({key, Revision(0)});
+  txn.preconditions.push_back({key, Revision(0)});
   txn.puts.push_back({std::move(key), std::move(value), {}});
   const bool written = co_await write_guarded(std::move(txn), urgency);
   co_return written;
@@ -174,10 +174,11 @@
   auto& services = self->services_;
   // Later than this the others no longer wait for it, and the answer to its report tells it to end as well.
   const auto deadline = services.loop.now() + net::seconds(self->config_.gang_peer_s);
-  const std::string body = wire::encode(wire::direct_orders(self->token(), effect.session, effect.orders));
+  const std::string body =
+      wire::encode(wire::direct_commands(self->token(), effect.incarnation, effect.commands));
   while (self->alive_ && services.loop.now() < deadline) {
     net::CallResult result =
-        co_await services.transport.call(*address, "POST", std::string(wire::path::kDirectOrders), body,
+        co_await services.transport.call(*address, "POST", std::string(wire::path::kDirectCommands), body,
                                          net::seconds(limits::kDirectOrderTimeout));
     spdlog::info("event=direct_stop machine={} status={}", effect.machine.value,
                  result.response ? result.response->status : 0);
@@ -199,7 +200,7 @@
     const auto count = std::min(self->discarded_.size(), self->config_.txn_ops);
     const auto end = self->discarded_.begin() + static_cast<std::ptrdiff_t>(count);
     wire::Transaction txn;
-    txn.removals.assign(self->discarded_.begin(), end);
+    txn.deletions.assign(self->discarded_.begin(), end);
     self->discarded_.erase(self->discarded_.begin(), end);
     const bool written = co_await self->write_guarded(std::move(txn), Urgency::background);
     if (!written) break;
--- a/src/app/node.cpp
+++ b/src/app/node.cpp
@@ -320,7 +320,7 @@
     if (request.method != "GET") co_return HttpResponse{405, {}, std::nullopt};
     co_return healthy() ? HttpResponse{} : come_back();
   }
-  if (target == path::kReport) {
+  if (target == path::kHeartbeat) {
     if (request.method != "POST") co_return HttpResponse{405, {}, std::nullopt};
     HttpResponse response = co_await handle_report(request);
     co_return response;
@@ -365,22 +365,22 @@
 }
 
 net::Task<HttpResponse> Node::handle_report(const HttpMessage& request) {
-  std::optional<wire::Report> report;
+  std::optional<wire::Heartbeat> heartbeat;
   if (auto body = wire::decode(request.body)) {
     try {
-      report = wire::parse_report(*body);
+      heartbeat = wire::parse_heartbeat(*body);
     } catch (const wire::Malformed& error) {
       spdlog::debug("event=bad_report what=\"{}\"", error.what());
     }
   }
-  if (!report) co_return HttpResponse{400, {}, std::nullopt};
+  if (!heartbeat) co_return HttpResponse{400, {}, std::nullopt};
   workers_heard_.note(loop_.now());
   if (!term_) {
-    if (leader_ && *leader_ != settings_.host) co_return answer(421, wire::redirect_answer(*leader_));
+    if (leader_ && *leader_ != settings_.host) co_return answer(421, wire::redirect_response(*leader_));
     co_return answer(421, wire::Json::object());
   }
   const auto term = term_;
-  HttpResponse response = co_await term->report(*std::move(report));
+  HttpResponse response = co_await term->heartbeat(*std::move(heartbeat));
   co_return response;
 }
 
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -145,7 +145,7 @@
     out.cluster.objectives.push_back(std::move(objective));
   }
   const auto workers = settings.section("workers");
-  out.cluster.report_s = workers.positive("report_s");
+  out.cluster.heartbeat_interval_s = workers.positive("report_s");
   out.cluster.lease_s = workers.positive("lease_s");
   out.cluster.cancel_s = workers.positive("cancel_s");
   out.cluster.gang_wait_s = workers.positive("gang_wait_s");
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -67,7 +67,7 @@
   co_return result;
 }
 
-net::Task<Result<std::vector<MachineId>>> CloudClient::rent(wire::Rental rental) {
+net::Task<Result<std::vector<MachineId>>> CloudClient::rent(wire::ScaleOutRequest rental) {
   Result<std::vector<MachineId>> result;
   Reply reply = co_await call("POST", std::string(wire::path::kMachines), wire::encode(wire::to_json(rental)),
                               Urgency::high);
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -32,7 +32,7 @@
   net::Task<Result<std::vector<wire::MachineType>>> machine_types();
   // The whole list, page after page.
   net::Task<Result<std::vector<wire::ListedMachine>>> machines();
-  net::Task<Result<std::vector<MachineId>>> rent(wire::Rental rental);
+  net::Task<Result<std::vector<MachineId>>> rent(wire::ScaleOutRequest rental);
   net::Task<Outcome> remove(std::vector<MachineId> names);
 
  private:
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -55,7 +55,7 @@
 // Largest amount (CPUs, GB, seconds) taken from a user; beyond any machine, but arithmetic stays exact.
 inline constexpr double kMaxAmount = 1e9;
 // Orders in one answer to a worker, so that it stays far below 64 KiB.
-inline constexpr std::size_t kMaxOrders = 250;
+inline constexpr std::size_t kMaxCommandsPerResponse = 250;
 
 // ---- State service ----------------------------------------------------------------------------------------
 // The lowest limits of the service with which the program can work: KiB of a value, and changes a transaction
@@ -72,7 +72,7 @@
 // fresh.
 inline constexpr double kWatchHold = 1.0;
 // Conditions a transaction may have per change it may make, from PROTOCOL.
-inline constexpr std::size_t kGuardsPerChange = 4;
+inline constexpr std::size_t kPreconditionsPerChange = 4;
 // Items asked for per page of a listing.
 inline constexpr std::uint64_t kListPage = 500;
 // Share of the service's request and write limits a leader uses; the rest is for the other controllers.
--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -7,15 +7,15 @@
 
 namespace dockdyke::core {
 
-using wire::MachineStage;
+using wire::InstanceState;
 
 // ---- What the cloud says ----------------------------------------------------------------------------------
 
-void Cluster::on(const TypesChanged& command, Time) {
+void Cluster::on(const TypesChanged& event, Time) {
   // A type that is offered no more keeps its number, since machines of it may be up, but no zone to rent it
   // in.
   for (auto& type : types_) type.zones.clear();
-  for (const auto& type : command.types) {
+  for (const auto& type : event.types) {
     const auto known = type_number(type.name);
     if (known == kNoType) {
       types_.push_back(type);
@@ -29,30 +29,30 @@
   place_wanted_ = true;
 }
 
-void Cluster::on(const RentLoaded& command, Time now) {
+void Cluster::on(const RentLoaded& event, Time now) {
   // Recorded by an earlier leader and perhaps never answered: asked again under the same name.
-  rents_.try_emplace(command.rental.id, PendingRent{command.rental, now});
-  effects_.emplace_back(Rent{command.rental, true});
+  rents_.try_emplace(event.rental.id, PendingRent{event.rental, now});
+  effects_.emplace_back(Rent{event.rental, true});
 }
 
-void Cluster::on(const ReturnLoaded& command, Time now) {
-  for (const auto& id : command.machines) machine_named(id, now).returning = true;
-  effects_.emplace_back(ReturnMachines{command.record, command.machines, true});
+void Cluster::on(const ReturnLoaded& event, Time now) {
+  for (const auto& id : event.machines) machine_named(id, now).returning = true;
+  effects_.emplace_back(ReturnMachines{event.record, event.machines, true});
 }
 
-void Cluster::on(const RentAnswered& command, Time now) {
-  auto found = rents_.find(command.id);
+void Cluster::on(const RentAnswered& event, Time now) {
+  auto found = rents_.find(event.id);
   if (found == rents_.end()) return;
   const PendingRent pending = found->second;
   rents_.erase(found);
-  for (const auto& id : command.machines) {
+  for (const auto& id : event.machines) {
     if (tombstones_.contains(id)) continue;
     Machine& machine = machine_named(id, now);
     describe(machine, pending.rental.type, pending.rental.zone, pending.rental.spot);
     machine.rented_at = std::min(machine.rented_at, pending.since);
   }
   const Offer offer{pending.rental.type, pending.rental.zone, pending.rental.spot};
-  if (command.machines.size() < pending.rental.count) {
+  if (event.machines.size() < pending.rental.count) {
     // Partly filled: this offer is empty for now.
     refusals_[offer] = {now + limits::kRefusedFirst, limits::kRefusedFirst};
   } else {
@@ -60,8 +60,8 @@
   }
 }
 
-void Cluster::on(const RentRefused& command, Time now) {
-  auto found = rents_.find(command.id);
+void Cluster::on(const RentRefused& event, Time now) {
+  auto found = rents_.find(event.id);
   if (found == rents_.end()) return;
   const auto& rental = found->second.rental;
   Refusal& refusal = refusals_[{rental.type, rental.zone, rental.spot}];
@@ -71,14 +71,14 @@
   rents_.erase(found);
 }
 
-void Cluster::on(const MachinesDeleted& command, Time now) {
-  for (const auto& id : command.machines) machine_gone(id, now);
+void Cluster::on(const MachinesDeleted& event, Time now) {
+  for (const auto& id : event.machines) machine_gone(id, now);
 }
 
-void Cluster::on(const MachinesListed& command, Time now) {
+void Cluster::on(const MachinesListed& event, Time now) {
   std::set<MachineId> listed;
   std::vector<MachineId> failed;
-  for (const auto& each : command.machines) {
+  for (const auto& each : event.machines) {
     listed.insert(each.id);
     if (tombstones_.contains(each.id)) continue;
     Machine& machine = machine_named(each.id, now);
@@ -88,13 +88,13 @@
       if (machine.type.empty()) describe(machine, each.type, each.zone, each.spot);
     }
     machine.unlisted = 0;
-    if (each.stage == MachineStage::failed) {
+    if (each.state == InstanceState::failed) {
       release_all(machine, now);
       machine.state = MachineState::gone;
       if (!machine.returning) failed.push_back(each.id);
-    } else if (each.stage == MachineStage::running && machine.state == MachineState::booting) {
+    } else if (each.state == InstanceState::running && machine.state == MachineState::booting) {
       machine.state = MachineState::up;  // its first report is due; its silence counts from here
-      machine.last_report = now;
+      machine.last_heartbeat_at = now;
     }
   }
   for (auto& [id, machine] : machines_)
@@ -137,7 +137,7 @@
   for (auto& [id, machine] : machines_) {
     if (machine.returning) continue;
     const auto* type = type_of(machine);
-    const double unheard = now - machine.last_report;
+    const double unheard = now - machine.last_heartbeat_at;
     // Our answers have not reached it for longer than its lease lasts without them.
     const bool deaf = machine.unheeded >= limits::kUnheeded &&
                       now - machine.unheeded_since > config_.lease_s + limits::kLeaseMargin;
@@ -163,9 +163,9 @@
 }
 
 void Cluster::rent(const Offer& offer, std::size_t count, Time now) {
-  wire::Rental rental;
+  wire::ScaleOutRequest rental;
   // The token is this leadership's alone, so the name was never used before and never will be.
-  rental.id = RentId("r-" + std::to_string(token_.value) + "-" + std::to_string(next_rent_++));
+  rental.id = ScaleOutId("r-" + std::to_string(token_.value) + "-" + std::to_string(next_rent_++));
   std::tie(rental.type, rental.zone, rental.spot) = offer;
   rental.count = std::min<std::uint64_t>(count, limits::kMaxRent);
   rents_[rental.id] = {rental, now};
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -10,7 +10,7 @@
 
 using wire::TaskState;
 
-Cluster::Cluster(Config config, Token token, Time now, std::int64_t time_of_day_ms)
+Cluster::Cluster(Config config, FencingToken token, Time now, std::int64_t time_of_day_ms)
     : config_(std::move(config)),
       token_(token),
       elected_at_(now),
@@ -20,8 +20,8 @@
       // Each end of a job is a put and a removal.
       ends_per_save_(std::max<std::size_t>(1, config_.txn_ops / 2)) {}
 
-void Cluster::apply(const Command& command, Time now) {
-  std::visit([&](const auto& each) { on(each, now); }, command);
+void Cluster::apply(const Event& event, Time now) {
+  std::visit([&](const auto& each) { on(each, now); }, event);
 }
 
 std::vector<Effect> Cluster::take_effects() {
@@ -64,8 +64,8 @@
         const auto state = each.second.state;
         return each.second.shown && (state == TaskState::running || state == TaskState::saving);
       }));
-  const auto stage = running > 0 || known->done_count > 0 ? wire::Stage::running : wire::Stage::pending;
-  return Progress{known->version, {stage, known->done_count, running}};
+  const auto state = running > 0 || known->done_count > 0 ? wire::JobState::running : wire::JobState::pending;
+  return Progress{known->version, {state, known->done_count, running}};
 }
 
 // ---- Records ----------------------------------------------------------------------------------------------
@@ -78,10 +78,10 @@
   // Times of day may differ between controllers; an age is never taken as negative.
   const double age_s = static_cast<double>(elected_ms_ - record.submitted_ms) / 1000.0 + (now - elected_at_);
   job.submitted = now - std::max(0.0, age_s);
-  job.tasks.assign(record.spec.tasks, TaskSlot{});
+  job.tasks.assign(record.spec.task_count, TaskSlot{});
   job.version = version;
   job.waiting_since = now;
-  job.expected_s = estimates_.expected(job.spec.job_class, job.spec.estimate_s);
+  job.expected_s = estimates_.expected(job.spec.job_class, job.spec.estimated_run_s);
   job.team_usage = &usage_[job.spec.team];
   set_suits(job);
   if (job.is_gang() && wants_quick_starts(job.spec)) reserve_.note_arrival(job.spec, now);
@@ -90,29 +90,29 @@
   return job;
 }
 
-void Cluster::on(const JobLoaded& command, Time now) {
+void Cluster::on(const JobLoaded& event, Time now) {
   // Open jobs come first: one that was cancelled while the records were read is then known as open, and the
   // watch tells of its end.
-  if (jobs_.contains(command.record.spec.id)) return;
-  Job& job = add_job(command.record, command.version, now);
-  if (!command.lingering) return;
+  if (jobs_.contains(event.record.spec.id)) return;
+  Job& job = add_job(event.record, event.version, now);
+  if (!event.lingering) return;
   job.cancelled = true;
   const double age_s =
-      static_cast<double>(elected_ms_ - command.record.cancelled_ms.value_or(elected_ms_)) / 1000.0;
+      static_cast<double>(elected_ms_ - event.record.cancelled_ms.value_or(elected_ms_)) / 1000.0;
   job.cancelled_at = now - std::max(0.0, age_s);
 }
 
-void Cluster::on(const PageLoaded& command, Time) {
+void Cluster::on(const PageLoaded& event, Time) {
   const PageNumber number = next_page_number_++;
   Page& page = pages_[number];
-  page.key = command.key;
+  page.key = event.key;
   page.confirmed = true;
-  for (const auto& [id, tasks] : command.page) {
+  for (const auto& [id, tasks] : event.page) {
     auto found = jobs_.find(id);
     if (found == jobs_.end() || found->second.is_gang()) continue;
     Job& job = found->second;
     for (const auto& task : tasks) {
-      if (task.index >= job.spec.tasks) continue;
+      if (task.index >= job.spec.task_count) continue;
       TaskSlot& slot = job.tasks[task.index];
       if (slot.recorded != 0) --pages_.at(slot.recorded).live;
       slot.recorded = slot.written = number;
@@ -173,20 +173,20 @@
   }
 }
 
-void Cluster::on(const JobSubmitted& command, Time now) {
+void Cluster::on(const JobSubmitted& event, Time now) {
   // Until the records are read, an open record may have tasks that pages tell of: loading brings it. And news
   // of a submission may come after the job's end, when its record was read long before or its watch was slow.
-  const auto& id = command.record.spec.id;
+  const auto& id = event.record.spec.id;
   if (!loaded_ || jobs_.contains(id) || over_.contains(id)) return;
-  add_job(command.record, command.version, now);
+  add_job(event.record, event.version, now);
 }
 
-void Cluster::on(const JobOffRecord& command, Time now) {
-  auto found = jobs_.find(command.id);
+void Cluster::on(const JobOffRecord& event, Time now) {
+  auto found = jobs_.find(event.id);
   if (found == jobs_.end()) {
     // Perhaps a late word of its submission is still to come. Cancelled before we heard of it, it has no
     // tasks, and nobody else would remove its copy.
-    if (over_.insert_or_assign(command.id, now).second && loaded_) discard({key::linger(command.id)});
+    if (over_.insert_or_assign(event.id, now).second && loaded_) discard({key::linger(event.id)});
     return;
   }
   Job& job = found->second;
@@ -213,7 +213,7 @@
   }
   for (auto index : never_sent) release(job, index, now);
   job.returned.clear();
-  job.next_fresh = job.spec.tasks;
+  job.next_fresh = job.spec.task_count;
 }
 
 void Cluster::drop_if_gone(Job& job, Time now) {
@@ -238,7 +238,7 @@
     machine.rented_at = now;
     machine.idle_since = now;
     // A machine we know only by name may run tasks: its silence counts from now on.
-    machine.last_report = now;
+    machine.last_heartbeat_at = now;
   }
   return machine;
 }
@@ -255,8 +255,8 @@
 void Cluster::put_placement(Job& job, TaskIndex index, Placement placement) {
   Machine& machine = *placement.machine;
   machine.placements.push_back({&job, index});
-  machine.used += job.spec.each;
-  *job.team_usage += job.spec.each;
+  machine.used += job.spec.task_resources;
+  *job.team_usage += job.spec.task_resources;
   job.placements.insert_or_assign(index, placement);
 }
 
@@ -265,12 +265,12 @@
   if (found == job.placements.end()) return;
   Machine& machine = *found->second.machine;
   std::erase(machine.placements, PlacedTask{&job, index});
-  machine.used -= job.spec.each;
+  machine.used -= job.spec.task_resources;
   if (machine.placements.empty()) {
     machine.used = {};
     machine.idle_since = now;
   }
-  *job.team_usage -= job.spec.each;
+  *job.team_usage -= job.spec.task_resources;
   job.placements.erase(found);
   if (job.is_gang()) {
     if (!job.complete() && !job.cancelled) gang_task_released(job, now);
@@ -322,7 +322,7 @@
 }
 
 bool Cluster::silent(const Machine& machine, Time now) const {
-  return now - machine.last_report > limits::kSilentReports * config_.report_s;
+  return now - machine.last_heartbeat_at > limits::kSilentReports * config_.heartbeat_interval_s;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/cluster.hpp
+++ b/src/core/cluster.hpp
@@ -35,7 +35,7 @@
   GangPart part;
 };
 struct RentLoaded {
-  wire::Rental rental;
+  wire::ScaleOutRequest rental;
 };
 struct ReturnLoaded {
   std::string record;
@@ -71,11 +71,11 @@
   std::vector<wire::ListedMachine> machines;
 };
 struct RentAnswered {
-  RentId id;
+  ScaleOutId id;
   std::vector<MachineId> machines;
 };
 struct RentRefused {
-  RentId id;
+  ScaleOutId id;
 };
 struct MachinesDeleted {
   std::string record;
@@ -86,10 +86,9 @@
 };
 struct Tick {};
 
-using Command =
-    std::variant<JobLoaded, PageLoaded, GangPartLoaded, RentLoaded, ReturnLoaded, LoadDone, JobSubmitted,
-                 JobOffRecord, SaveDone, SaveConflict, SaveRejected, WriteRateLowered, MachinesListed,
-                 RentAnswered, RentRefused, MachinesDeleted, TypesChanged, Tick>;
+using Event = std::variant<JobLoaded, PageLoaded, GangPartLoaded, RentLoaded, ReturnLoaded, LoadDone,
+                           JobSubmitted, JobOffRecord, SaveDone, SaveConflict, SaveRejected, WriteRateLowered,
+                           MachinesListed, RentAnswered, RentRefused, MachinesDeleted, TypesChanged, Tick>;
 
 // ---- Effects ----------------------------------------------------------------------------------------------
 
@@ -102,7 +101,7 @@
 };
 // To be recorded, then asked of the cloud until it answers.
 struct Rent {
-  wire::Rental rental;
+  wire::ScaleOutRequest rental;
   bool recorded = false;
 };
 struct ReturnMachines {
@@ -121,14 +120,14 @@
 struct DirectStop {
   MachineId machine;
   std::string address;
-  std::uint64_t session = 0;
-  std::vector<wire::Order> orders;
+  std::uint64_t incarnation = 0;
+  std::vector<wire::Command> commands;
 };
 
 using Effect = std::variant<Rent, ReturnMachines, RemoveKeys, DirectStop>;
 
 // What became of a report.
-enum class ReportOutcome { taken, stale, overtaken };
+enum class HeartbeatOutcome { accepted, stale, superseded };
 
 // Why the answer to a machine's report should wait a little.
 enum class AnswerDelay {
@@ -171,13 +170,13 @@
 
 class Cluster {
  public:
-  Cluster(Config config, Token token, Time now, std::int64_t time_of_day_ms);
+  Cluster(Config config, FencingToken token, Time now, std::int64_t time_of_day_ms);
 
-  void apply(const Command& command, Time now);
-  ReportOutcome take_report(const wire::Report& report, Time now);
+  void apply(const Event& event, Time now);
+  HeartbeatOutcome apply_heartbeat(const wire::Heartbeat& heartbeat, Time now);
   // The orders for the answer to the machine's last report. Marks starts as sent.
   // Without `allow_starts` (the leader's view may be stale) only tasks already there are dealt with.
-  std::vector<wire::Order> orders_for(const MachineId& machine, bool allow_starts, Time now);
+  std::vector<wire::Command> commands_for(const MachineId& machine, bool allow_starts, Time now);
   // Gives waiting tasks their places; to be called after a batch of commands and reports.
   void place(Time now);
 
@@ -188,13 +187,13 @@
   std::vector<Effect> take_effects();
   AnswerDelay hold(const MachineId& machine, Time now) const;
   // True while the report is the machine's last one and has not been answered.
-  bool awaits_answer(const wire::Report& report) const;
+  bool awaits_answer(const wire::Heartbeat& heartbeat) const;
   // The answer to the machine's last report went out.
   void answered(const MachineId& machine, Time now);
   // The open job, unless it is unknown here or its end is being recorded.
   std::optional<Progress> progress(const JobId& id) const;
 
-  Token token() const { return token_; }
+  FencingToken token() const { return token_; }
   bool loaded() const { return loaded_; }
   FleetCount count() const { return count_; }
   PlacedTasks placed_tasks() const;
@@ -216,24 +215,24 @@
 
  private:
   // cluster.cpp: records, reports and proofs
-  void on(const JobLoaded& command, Time now);
-  void on(const PageLoaded& command, Time now);
-  void on(const GangPartLoaded& command, Time now);
-  void on(const RentLoaded& command, Time now);
-  void on(const ReturnLoaded& command, Time now);
-  void on(const LoadDone& command, Time now);
-  void on(const JobSubmitted& command, Time now);
-  void on(const JobOffRecord& command, Time now);
-  void on(const SaveDone& command, Time now);
-  void on(const SaveConflict& command, Time now);
-  void on(const SaveRejected& command, Time now);
-  void on(const WriteRateLowered& command, Time now);
-  void on(const MachinesListed& command, Time now);
-  void on(const RentAnswered& command, Time now);
-  void on(const RentRefused& command, Time now);
-  void on(const MachinesDeleted& command, Time now);
-  void on(const TypesChanged& command, Time now);
-  void on(const Tick& command, Time now);
+  void on(const JobLoaded& event, Time now);
+  void on(const PageLoaded& event, Time now);
+  void on(const GangPartLoaded& event, Time now);
+  void on(const RentLoaded& event, Time now);
+  void on(const ReturnLoaded& event, Time now);
+  void on(const LoadDone& event, Time now);
+  void on(const JobSubmitted& event, Time now);
+  void on(const JobOffRecord& event, Time now);
+  void on(const SaveDone& event, Time now);
+  void on(const SaveConflict& event, Time now);
+  void on(const SaveRejected& event, Time now);
+  void on(const WriteRateLowered& event, Time now);
+  void on(const MachinesListed& event, Time now);
+  void on(const RentAnswered& event, Time now);
+  void on(const RentRefused& event, Time now);
+  void on(const MachinesDeleted& event, Time now);
+  void on(const TypesChanged& event, Time now);
+  void on(const Tick& event, Time now);
 
   Job& add_job(const JobRecord& record, Revision version, Time now);
   Machine& machine_named(const MachineId& id, Time now);
@@ -242,7 +241,7 @@
   // The task is proved to be off its machine (or was never sent): its place is free again.
   void release(Job& job, TaskIndex index, Time now);
   void release_all(Machine& machine, Time now);
-  void take_tasks(Machine& machine, const wire::Report& report, Time now);
+  void take_tasks(Machine& machine, const wire::Heartbeat& heartbeat, Time now);
   void task_exited(Job& job, TaskIndex index, Machine& machine, const wire::ReportedTask& task, Time now);
   void task_failed(Job& job, Machine& machine, Time now);
   void judge_machines(Time now);
@@ -366,7 +365,7 @@
   std::size_t place_job(const Ranked& ranked, const std::vector<Machine*>& open, bool any_image,
                         std::size_t most, Time now);
   // Seconds in which every machine has reported.
-  double report_round_s() const;
+  double heartbeat_round_s() const;
   // Machines in the order in which work should fill them: those in use before empty ones, cheap ones before
   // ordinary ones.
   static std::size_t tier(const Machine& machine);
@@ -441,7 +440,7 @@
   void rent(const Offer& offer, std::size_t count, Time now);
 
   Config config_;
-  Token token_;
+  FencingToken token_;
   Time elected_at_;
   std::int64_t elected_ms_;
   bool loaded_ = false;
@@ -454,7 +453,7 @@
   std::set<Machine*, ById> open_answers_;  // machines whose last report has not been answered
   std::vector<wire::MachineType> types_;   // numbered as first seen
   std::map<MachineId, Time> tombstones_;
-  std::map<RentId, PendingRent> rents_;
+  std::map<ScaleOutId, PendingRent> rents_;
   std::map<Offer, Refusal> refusals_;
   std::map<std::string, wire::Resources> usage_;
   std::set<JobId> guaranteed_;  // of the last ranking
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -16,7 +16,7 @@
   for (std::size_t number = 0; number < types_.size(); ++number) {
     const auto& type = types_[number];
     if (!job.suits_type(number) || avoided.contains(number)) continue;
-    const auto fit = tasks_fitting(job.spec.each, type.size);
+    const auto fit = tasks_fitting(job.spec.task_resources, type.size);
     const double machines = std::ceil(static_cast<double>(tasks) / static_cast<double>(fit));
     for (const auto& zone : type.zones) {
       if (zones && (!zones->contains(zone) || zones->at(zone) == 0)) continue;
@@ -73,7 +73,7 @@
   for (const auto& task : machine.placements) {
     const bool soon = pressed ? nearly_done(*task.job, task.placement(), now)
                               : frees_soon(*task.job, task.placement(), now);
-    if (soon) freeing += task.job->spec.each;
+    if (soon) freeing += task.job->spec.task_resources;
   }
   return freeing;
 }
@@ -154,7 +154,7 @@
 void Cluster::take_rooms(Demand& demand, Claim& claim, std::size_t group) const {
   const Rooms each = demand.rooms[group];
   if (!may_use(claim, each)) return;
-  const std::size_t per_machine = tasks_fitting(claim.job.spec.each, each.room);
+  const std::size_t per_machine = tasks_fitting(claim.job.spec.task_resources, each.room);
   std::size_t fits = std::min(claim.left, per_machine * each.count);
   if (claim.zones) fits = std::min(fits, claim.zones->at(each.zone));
   if (fits == 0) return;
@@ -162,7 +162,7 @@
   const auto split = [&](std::size_t machines, std::size_t tasks) {
     if (machines == 0) return;
     Rooms rest = each;
-    rest.room -= claim.job.spec.each * static_cast<double>(tasks);
+    rest.room -= claim.job.spec.task_resources * static_cast<double>(tasks);
     rest.count = machines;
     demand.rooms[group].count -= machines;
     demand.rooms.push_back(std::move(rest));
@@ -171,7 +171,7 @@
   if (fits % per_machine != 0) split(1, fits % per_machine);
   claim.left -= fits;
   if (claim.zones && claim.job.spec.spread) claim.zones->at(each.zone) -= fits;
-  if (claim.zones && claim.job.spec.one_zone) close_other_zones(claim.zones, each.zone);
+  if (claim.zones && claim.job.spec.same_zone) close_other_zones(claim.zones, each.zone);
 }
 
 std::optional<std::string> Cluster::gang_zone(const Demand& demand, const Claim& claim, bool ordinary,
@@ -179,7 +179,7 @@
   std::map<std::string, std::size_t> fits;
   for (const auto& rooms : demand.rooms)
     if (may_use(claim, rooms))
-      fits[rooms.zone] += tasks_fitting(claim.job.spec.each, rooms.room) * rooms.count;
+      fits[rooms.zone] += tasks_fitting(claim.job.spec.task_resources, rooms.room) * rooms.count;
   for (const auto& [zone, tasks] : fits)
     if (tasks >= claim.left) return zone;
   // None holds the whole gang: where the rest is rented.
@@ -196,7 +196,8 @@
     const auto& [type, zone, spot] = *offer;
     const auto rented = type_number(type);
     const auto& size = types_[rented].size;
-    const std::size_t per_machine = std::max<std::size_t>(1, tasks_fitting(claim.job.spec.each, size));
+    const std::size_t per_machine =
+        std::max<std::size_t>(1, tasks_fitting(claim.job.spec.task_resources, size));
     // As many as it needs, but turn by turn where its zones or the next offer matter.
     const std::size_t count =
         claim.zones ? 1
@@ -214,7 +215,7 @@
 void Cluster::meet_claim(Demand& demand, const Ranked& ranked, Claim& claim, Time now) const {
   const Job& job = claim.job;
   const bool ordinary = needs_ordinary(ranked, now);
-  if (job.is_gang() && job.spec.one_zone) {
+  if (job.is_gang() && job.spec.same_zone) {
     // In one zone as a whole: parts of it in several would never start.
     const auto zone = gang_zone(demand, claim, ordinary, now);
     if (!zone) return;
@@ -259,7 +260,7 @@
     Ranked ranked;
     ranked.job = &gang;
     for (std::size_t i = 0; i < wanted.gangs; ++i) {
-      Claim claim{gang, gang.spec.tasks, zone_room(gang), {}};
+      Claim claim{gang, gang.spec.task_count, zone_room(gang), {}};
       meet_claim(demand, ranked, claim, now);
     }
   }
--- a/src/core/estimates.cpp
+++ b/src/core/estimates.cpp
@@ -7,17 +7,18 @@
 
 namespace dockdyke::core {
 
-void Estimates::observe(const std::string& job_class, double estimate_s, double took_s) {
-  if (estimate_s <= 0 || took_s <= 0) return;
+void Estimates::observe(const std::string& job_class, double estimated_run_s, double took_s) {
+  if (estimated_run_s <= 0 || took_s <= 0) return;
   // In logarithms, since half and double are errors of the same size.
-  const double ratio = std::log(std::clamp(took_s / estimate_s, limits::kLearnLeast, limits::kLearnMost));
+  const double ratio =
+      std::log(std::clamp(took_s / estimated_run_s, limits::kLearnLeast, limits::kLearnMost));
   double& known = log_ratio_[job_class];
   known += limits::kLearnRate * (ratio - known);
 }
 
-double Estimates::expected(const std::string& job_class, double estimate_s) const {
+double Estimates::expected(const std::string& job_class, double estimated_run_s) const {
   auto known = log_ratio_.find(job_class);
-  return known == log_ratio_.end() ? estimate_s : estimate_s * std::exp(known->second);
+  return known == log_ratio_.end() ? estimated_run_s : estimated_run_s * std::exp(known->second);
 }
 
 }  // namespace dockdyke::core
--- a/src/core/estimates.hpp
+++ b/src/core/estimates.hpp
@@ -9,9 +9,9 @@
 class Estimates {
  public:
   // A task of this class was estimated at one time and took another (s).
-  void observe(const std::string& job_class, double estimate_s, double took_s);
+  void observe(const std::string& job_class, double estimated_run_s, double took_s);
   // The expected run time (s) of a task whose owner says `estimate_s`.
-  double expected(const std::string& job_class, double estimate_s) const;
+  double expected(const std::string& job_class, double estimated_run_s) const;
 
  private:
   std::map<std::string, double> log_ratio_;
--- a/src/core/gang_reserve.cpp
+++ b/src/core/gang_reserve.cpp
@@ -19,7 +19,9 @@
   for (auto& [job_class, arrivals] : arrivals_) {
     while (!arrivals.empty() && now - arrivals.front().at > limits::kReserveMemory) arrivals.pop_front();
     if (arrivals.empty()) continue;
-    const auto size = [](const Arrival& each) { return each.spec.each.cpus * each.spec.tasks; };
+    const auto size = [](const Arrival& each) {
+      return each.spec.task_resources.cpus * each.spec.task_count;
+    };
     const auto largest = std::max_element(arrivals.begin(), arrivals.end(),
                                           [&](const auto& a, const auto& b) { return size(a) < size(b); });
     const auto lately = std::count_if(arrivals.begin(), arrivals.end(),
--- a/src/core/gangs.cpp
+++ b/src/core/gangs.cpp
@@ -14,19 +14,19 @@
 
 // ---- Records ----------------------------------------------------------------------------------------------
 
-void Cluster::on(const GangPartLoaded& command, Time) {
-  auto found = jobs_.find(command.part.job);
+void Cluster::on(const GangPartLoaded& event, Time) {
+  auto found = jobs_.find(event.part.job);
   if (found == jobs_.end() || !found->second.is_gang()) {
-    dead_keys_.push_back(command.key);
+    dead_keys_.push_back(event.key);
     return;
   }
   Job& job = found->second;
-  job.gang.keys.push_back(command.key);
+  job.gang.keys.push_back(event.key);
   LoadedGang& loaded = loaded_gangs_[job.serial];
-  if (command.part.attempt < loaded.attempt) return;
-  if (command.part.attempt > loaded.attempt) loaded = {command.part.attempt, command.part.parts, 0, {}};
+  if (event.part.attempt < loaded.attempt) return;
+  if (event.part.attempt > loaded.attempt) loaded = {event.part.attempt, event.part.parts, 0, {}};
   ++loaded.seen;
-  loaded.tasks.insert(loaded.tasks.end(), command.part.tasks.begin(), command.part.tasks.end());
+  loaded.tasks.insert(loaded.tasks.end(), event.part.tasks.begin(), event.part.tasks.end());
 }
 
 void Cluster::take_over_gang(Job& job, Time now) {
@@ -39,9 +39,9 @@
   if (loaded.seen != loaded.parts) return;
   job.gang.parts = job.gang.confirmed = loaded.parts;
   job.gang.placed_at = now;
-  job.next_fresh = job.spec.tasks;
+  job.next_fresh = job.spec.task_count;
   for (const auto& task : loaded.tasks) {
-    if (task.index >= job.spec.tasks || job.placements.contains(task.index)) continue;
+    if (task.index >= job.spec.task_count || job.placements.contains(task.index)) continue;
     Placement placement;
     placement.machine = &machine_named(task.machine, now);
     placement.attempt = loaded.attempt;
@@ -64,9 +64,9 @@
     save.number = next_save_number_++;
     save.urgent = true;
     const std::string key = key::gang_part(part.job, part.attempt, part.part);
-    save.transaction.guards.push_back({key, Revision(0)});
+    save.transaction.preconditions.push_back({key, Revision(0)});
     // A copy that the store carries out late finds the job over, and leaves nothing behind.
-    save.transaction.guards.push_back({key::open(part.job), job.version});
+    save.transaction.preconditions.push_back({key::open(part.job), job.version});
     save.transaction.puts.push_back({key, to_json(part), {}});
     InFlight in_flight;
     in_flight.gang = StoredGang{job.serial, part.attempt};
@@ -108,10 +108,10 @@
       took_s = std::max(took_s, now - placement.running_since);
     if (placement.unsent()) never_sent.push_back(index);
   }
-  if (took_s > 0) estimates_.observe(job.spec.job_class, job.spec.estimate_s, took_s);
+  if (took_s > 0) estimates_.observe(job.spec.job_class, job.spec.estimated_run_s, took_s);
   // Tasks of a gang complete together: with one of them done, none is ever started again.
   for (auto& slot : job.tasks) slot.done = true;
-  job.done_count = job.spec.tasks;
+  job.done_count = job.spec.task_count;
   job.begun = true;
   job.finishing = true;
   job.failures = 0;
@@ -142,7 +142,7 @@
 }
 
 bool Cluster::can_save_gang(const Job& job, Time now) const {
-  if (job.spec.checkpoint_s <= 0 || job.gang.broken || job.gang.running_at == 0) return false;
+  if (job.spec.checkpoint_interval_s <= 0 || job.gang.broken || job.gang.running_at == 0) return false;
   const bool all_reached = std::all_of(job.placements.begin(), job.placements.end(), [&](const auto& each) {
     const Machine& machine = *each.second.machine;
     return each.second.shown && each.second.state == wire::TaskState::running && machine.trusted &&
@@ -150,22 +150,23 @@
   });
   // What has run since the last checkpoint, as far as is known here, must be worth the time that saving
   // takes.
-  const double unsaved_s = std::fmod(now - job.gang.running_at, job.spec.checkpoint_s);
-  return all_reached && job.placements.size() == job.spec.tasks && unsaved_s > job.spec.save_s;
+  const double unsaved_s = std::fmod(now - job.gang.running_at, job.spec.checkpoint_interval_s);
+  return all_reached && job.placements.size() == job.spec.task_count &&
+         unsaved_s > job.spec.checkpoint_duration_s;
 }
 
 void Cluster::save_gang(Job& job) {
   job.gang.broken = true;
-  std::map<Machine*, std::vector<wire::Order>, ById> orders;
+  std::map<Machine*, std::vector<wire::Command>, ById> commands;
   for (auto& [index, placement] : job.placements) {
-    stop(placement, job.spec.save_s + limits::kGangSaveMargin);
-    orders[placement.machine].push_back(
-        {wire::Verb::stop, {job.spec.id, index}, placement.attempt, placement.grace_s});
+    stop(placement, job.spec.checkpoint_duration_s + limits::kGangSaveMargin);
+    commands[placement.machine].push_back(
+        {wire::CommandKind::stop, {job.spec.id, index}, placement.attempt, placement.grace_s});
   }
   // Where all are on one machine its next answer tells them at the same time.
-  if (orders.size() < 2) return;
-  for (auto& [machine, each] : orders)
-    effects_.emplace_back(DirectStop{machine->id, machine->address, machine->session, std::move(each)});
+  if (commands.size() < 2) return;
+  for (auto& [machine, each] : commands)
+    effects_.emplace_back(DirectStop{machine->id, machine->address, machine->incarnation, std::move(each)});
 }
 
 void Cluster::stop_gang_for_notice(Job& job, double left_s, Time now) {
@@ -173,10 +174,11 @@
   const auto& spec = job.spec;
   const double ran = job.gang.running_at > 0 ? now - job.gang.running_at : 0;
   if (job.expected_s - ran <= left_s) return;  // it may well end before
-  const double needed_s = spec.save_s + limits::kNoticeMargin + 1.25 * config_.report_s;
-  if (spec.checkpoint_s <= 0) {
+  const double needed_s =
+      spec.checkpoint_duration_s + limits::kNoticeMargin + 1.25 * config_.heartbeat_interval_s;
+  if (spec.checkpoint_interval_s <= 0) {
     break_gang(job);  // nothing of it can be kept: the sooner it starts again elsewhere the better
-  } else if (left_s <= needed_s && left_s > spec.save_s && can_save_gang(job, now)) {
+  } else if (left_s <= needed_s && left_s > spec.checkpoint_duration_s && can_save_gang(job, now)) {
     save_gang(job);
   }
 }
@@ -201,7 +203,7 @@
 
 void Cluster::watch_gangs(Time now) {
   const double most_s = std::min(limits::kGangAssembleShare * config_.gang_wait_s,
-                                 limits::kGangAssembleReports * config_.report_s);
+                                 limits::kGangAssembleReports * config_.heartbeat_interval_s);
   for (auto& [id, job] : jobs_) {
     if (!job.is_gang() || job.placements.empty() || job.gang.broken || job.complete() || job.cancelled)
       continue;
@@ -268,7 +270,7 @@
 }  // namespace
 
 std::vector<GangPlace> Cluster::gang_places(const Job& job, const std::vector<Machine*>& machines, Time now) {
-  const std::size_t tasks = job.spec.tasks;
+  const std::size_t tasks = job.spec.task_count;
   if (limit_room(job) < tasks) return {};
   const std::size_t most_per_zone =
       job.spec.spread ? (tasks + 1) / 2 : std::numeric_limits<std::size_t>::max();
@@ -280,11 +282,11 @@
     if (kept_from(job, *machine, now)) continue;
     const auto cost = cost_of(job, *machine, largest);
     if (!cost) continue;
-    Candidate candidate{machine, 0, *cost, tasks_fitting(job.spec.each, room(*machine))};
+    Candidate candidate{machine, 0, *cost, tasks_fitting(job.spec.task_resources, room(*machine))};
     if (!machine->has_image(job.spec.image)) candidate.fetch_s = fetch_s(job, *machine);
     // All go at the pace of the slowest.
     candidate.fetch_s += limits::kSlowSignWeight * machine->slow_signs;
-    groups[job.spec.one_zone ? machine->zone : std::string()].push_back(candidate);
+    groups[job.spec.same_zone ? machine->zone : std::string()].push_back(candidate);
   }
   std::optional<Choice> best;
   for (auto& [zone, candidates] : groups) {
@@ -306,7 +308,7 @@
   gang.placed_at = now;
   gang.running_at = 0;
   gang.machines = places.size();
-  job.next_fresh = job.spec.tasks;
+  job.next_fresh = job.spec.task_count;
   std::vector<TaskRecord> records;
   TaskIndex index = 0;
   for (const auto& place : places) {
@@ -342,7 +344,7 @@
   for (const auto& ranked : ranking(now)) {
     Job& job = *ranked.job;
     if (!job.is_gang() || job.waiting() == 0 || now < job.not_before) continue;
-    if (now - job.waiting_since < limits::kGangOpenShare * report_round_s()) continue;
+    if (now - job.waiting_since < limits::kGangOpenShare * heartbeat_round_s()) continue;
     if (!machines) machines = accepting_machines(now);
     place_gang(job, *machines, now);
   }
@@ -387,13 +389,13 @@
     for (Machine* machine : machines) {
       if (machine->reserved || !allowed_on(gang, machine->type_number, machine->zone, machine->spot))
         continue;
-      const auto fits = tasks_fitting(gang.spec.each, room(*machine));
+      const auto fits = tasks_fitting(gang.spec.task_resources, room(*machine));
       const auto images = images_on(*machine);
       if (fits > 0) rooms.emplace_back(Rank(images, fits), machine);
     }
     std::stable_sort(rooms.begin(), rooms.end(),
                      [](const auto& a, const auto& b) { return a.first > b.first; });
-    std::size_t missing = wanted.gangs * gang.spec.tasks;
+    std::size_t missing = wanted.gangs * gang.spec.task_count;
     for (const auto& [rank, machine] : rooms) {
       if (missing == 0) break;
       machine->reserved = true;
@@ -415,7 +417,7 @@
   for (const auto& ranked : ranking(now)) {
     Job& job = *ranked.job;
     if (!job.is_gang() || now < job.not_before || now - job.waiting_since < limits::kGangKeepAfter ||
-        limit_room(job) < job.spec.tasks)
+        limit_room(job) < job.spec.task_count)
       continue;
     if (!keep_room(job, now)) continue;
     // For a bounded time, and then not for a while, so that what is kept out meanwhile is served as well.
@@ -433,20 +435,20 @@
     for (const auto& task : machine->placements) {
       const Placement& placement = task.placement();
       const double ran = placement.ran_s(now);
-      const bool ends = task.job->spec.shape != wire::Shape::service &&
+      const bool ends = task.job->spec.kind != wire::JobKind::service &&
                         std::max(0.0, task.job->expected_s - ran) < limits::kGangKeep;
-      if (ends || placement.stopping) free += task.job->spec.each;
+      if (ends || placement.stopping) free += task.job->spec.task_resources;
     }
-    if (const auto fits = tasks_fitting(job.spec.each, free); fits > 0)
-      groups[job.spec.one_zone ? machine->zone : std::string()].emplace_back(fits, machine);
+    if (const auto fits = tasks_fitting(job.spec.task_resources, free); fits > 0)
+      groups[job.spec.same_zone ? machine->zone : std::string()].emplace_back(fits, machine);
   }
   for (auto& [zone, machines] : groups) {
     std::stable_sort(machines.begin(), machines.end(),
                      [](const auto& a, const auto& b) { return a.first > b.first; });
     std::size_t sum = 0;
     std::size_t count = 0;
-    while (count < machines.size() && sum < job.spec.tasks) sum += machines[count++].first;
-    if (sum < job.spec.tasks) continue;
+    while (count < machines.size() && sum < job.spec.task_count) sum += machines[count++].first;
+    if (sum < job.spec.task_count) continue;
     for (std::size_t i = 0; i < count; ++i) {
       machines[i].second->kept_for = job.serial;
       machines[i].second->kept_until = now + limits::kGangKeep;
--- a/src/core/model.hpp
+++ b/src/core/model.hpp
@@ -41,7 +41,7 @@
 struct Config {
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  double report_s = 3;
+  double heartbeat_interval_s = 3;
   double lease_s = 30;
   double cancel_s = 60;
   double list_lag_s = 3;
@@ -66,7 +66,7 @@
   Attempt attempt = 0;
   bool inherited = false;  // given out by an earlier leader
   bool sent = false;       // its start order went out in an answer of ours
-  std::uint64_t sent_session = 0;
+  std::uint64_t dispatched_incarnation = 0;
   std::uint64_t sent_sequence = 0;
   bool shown = false;          // the worker has reported it to us
   std::uint64_t shown_in = 0;  // number of the last report that did
@@ -141,8 +141,8 @@
   std::uint32_t failures = 0;
   Time not_before = 0;
 
-  bool is_gang() const { return spec.shape == wire::Shape::gang; }
-  bool complete() const { return done_count == spec.tasks; }
+  bool is_gang() const { return spec.kind == wire::JobKind::gang; }
+  bool complete() const { return done_count == spec.task_count; }
   // The task's place is stored, so its start may go out.
   bool place_on_record(TaskIndex index) const {
     return is_gang() ? gang.durable() && !gang.broken && !complete() : tasks[index].durable();
@@ -153,7 +153,9 @@
     return complete() || is_gang() ? !finishing : tasks[index].durable();
   }
   double mean_run_s() const { return ran > 0 ? ran_s / ran : 0; }
-  TaskIndex waiting() const { return static_cast<TaskIndex>(returned.size()) + (spec.tasks - next_fresh); }
+  TaskIndex waiting() const {
+    return static_cast<TaskIndex>(returned.size()) + (spec.task_count - next_fresh);
+  }
   bool suits_type(std::size_t number) const { return number < suits.size() && suits[number]; }
 };
 
@@ -178,12 +180,12 @@
   MachineState state = MachineState::booting;
   Time rented_at = 0;
 
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;
-  bool trusted = false;       // has shown our token in its present session
-  std::uint64_t reports = 0;  // taken under our token
-  Time last_report = 0;
-  Time last_answer = 0;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;
+  bool trusted = false;          // has shown our token in its present session
+  std::uint64_t heartbeats = 0;  // taken under our token
+  Time last_heartbeat_at = 0;
+  Time last_response_at = 0;
   // Its last report has not been answered yet: orders can go out now.
   bool answer_open = false;
   // Reports in a row that show an answer of ours to have had no effect, and since when.
@@ -195,10 +197,10 @@
   wire::Resources used;
   // What the last report showed beside the placements: ended tasks, and tasks no record wants there.
   std::vector<wire::ReportedTask> leftovers;
-  std::vector<std::pair<wire::TaskRef, Attempt>> forgets;  // ordered in the last answer
-  bool strangers = false;                                  // it runs tasks we know nothing about
-  bool listed = false;                                     // the cloud's list has shown it
-  int unlisted = 0;                                        // lists in a row that did not show it since
+  std::vector<std::pair<wire::TaskId, Attempt>> forgets;  // ordered in the last answer
+  bool strangers = false;                                 // it runs tasks we know nothing about
+  bool listed = false;                                    // the cloud's list has shown it
+  int unlisted = 0;                                       // lists in a row that did not show it since
 
   bool draining = false;
   bool returning = false;  // recorded for give-back
@@ -233,7 +235,7 @@
 };
 
 struct PendingRent {
-  wire::Rental rental;
+  wire::ScaleOutRequest rental;
   Time since = 0;
 };
 
--- a/src/core/pages.cpp
+++ b/src/core/pages.cpp
@@ -63,10 +63,10 @@
     Job& job = found->second;
     job.finishing = true;
     job.unwritten.clear();
-    save.transaction.guards.push_back({key::open(id), job.version});
+    save.transaction.preconditions.push_back({key::open(id), job.version});
     save.transaction.puts.push_back(
-        {key::over(id), to_json(FinalRecord{wire::Stage::done, job.done_count}), {}});
-    save.transaction.removals.push_back(key::open(id));
+        {key::over(id), to_json(FinalRecord{wire::JobState::done, job.done_count}), {}});
+    save.transaction.deletions.push_back(key::open(id));
     in_flight.finals.push_back(id);
   }
   if (in_flight.finals.empty()) return std::nullopt;
@@ -164,7 +164,7 @@
   page.key = key::page(token_, next_page_key_++);
   Save save;
   save.number = next_save_number_++;
-  save.transaction.guards.push_back({page.key, Revision(0)});
+  save.transaction.preconditions.push_back({page.key, Revision(0)});
   save.transaction.puts.push_back({page.key, to_json(record), {}});
   pages_.emplace(number, std::move(page));
   saves_.emplace(save.number, InFlight{number, {}, {}});
@@ -227,8 +227,8 @@
   drop_if_gone(found->second, now);
 }
 
-void Cluster::on(const SaveDone& command, Time now) {
-  for (const auto& id : save_ended(command.number, {})) end_on_record(id, now);
+void Cluster::on(const SaveDone& event, Time now) {
+  for (const auto& id : save_ended(event.number, {})) end_on_record(id, now);
 }
 
 void Cluster::page_rejected(PageNumber number) {
@@ -245,9 +245,9 @@
   page_wanted_ = true;
 }
 
-void Cluster::on(const SaveRejected& command, Time) {
+void Cluster::on(const SaveRejected& event, Time) {
   // A limit that the settings did not tell of. The same transaction would be refused for ever.
-  auto save = saves_.find(command.number);
+  auto save = saves_.find(event.number);
   if (save == saves_.end()) return;
   const InFlight in_flight = std::move(save->second);
   saves_.erase(save);
@@ -263,14 +263,14 @@
   }
 }
 
-void Cluster::on(const WriteRateLowered& command, Time) {
-  config_.write_rps = std::min(config_.write_rps, command.per_second);
+void Cluster::on(const WriteRateLowered& event, Time) {
+  config_.write_rps = std::min(config_.write_rps, event.per_second);
 }
 
-void Cluster::on(const SaveConflict& command, Time now) {
-  for (const auto& id : save_ended(command.number, command.failed)) {
+void Cluster::on(const SaveConflict& event, Time now) {
+  for (const auto& id : save_ended(event.number, event.failed)) {
     const bool off_record =
-        std::find(command.failed.begin(), command.failed.end(), key::open(id)) != command.failed.end();
+        std::find(event.failed.begin(), event.failed.end(), key::open(id)) != event.failed.end();
     if (off_record) {
       // By an earlier try or as a cancellation, whose copy nobody else would remove.
       discard({key::linger(id)});
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -50,7 +50,7 @@
   const auto& named = job.spec.machine_types;
   job.suits.assign(types_.size(), false);
   for (std::size_t i = 0; i < types_.size(); ++i)
-    job.suits[i] = job.spec.each.fits_into(types_[i].size) &&
+    job.suits[i] = job.spec.task_resources.fits_into(types_[i].size) &&
                    (!named || std::find(named->begin(), named->end(), types_[i].name) != named->end());
 }
 
@@ -133,13 +133,13 @@
       const Team* team = team_named(config_, job->spec.team);
       if (!team || !has_guarantee(*team)) continue;
       auto& sum = claimed[job->spec.team];
-      sum += job->spec.each * static_cast<double>(job->spec.tasks - job->done_count);
+      sum += job->spec.task_resources * static_cast<double>(job->spec.task_count - job->done_count);
       if (sum.cpus <= team->guarantee.cpus && sum.gpus <= team->guarantee.gpus)
         guaranteed_.insert(job->spec.id);
     }
   }
   for (Job* job : unfinished) {
-    job->expected_s = estimates_.expected(job->spec.job_class, job->spec.estimate_s);
+    job->expected_s = estimates_.expected(job->spec.job_class, job->spec.estimated_run_s);
     if (job->waiting() == 0) continue;
     Ranked each;
     each.job = job;
@@ -153,9 +153,9 @@
     each.due = job->submitted + (each.reachable ? *reachable : goals.back());
     each.first_due = job->submitted + goals.front();
     const auto start_s = quickest_start_s(job->spec.job_class);
-    const bool starts_count = start_s && *start_s < 2 * report_round_s();
+    const bool starts_count = start_s && *start_s < 2 * heartbeat_round_s();
     each.hasty = starts_count || !each.reachable ||
-                 each.due - now - job->expected_s < limits::kHastyRounds * report_round_s();
+                 each.due - now - job->expected_s < limits::kHastyRounds * heartbeat_round_s();
     ranking_.push_back(each);
   }
   // Whoever has not begun for very long comes first, whatever its priority. Within a priority the first
@@ -193,7 +193,7 @@
 }
 
 Cluster::Zones Cluster::zone_room(const Job& job) const {
-  if (!job.spec.one_zone && !job.spec.spread) return std::nullopt;
+  if (!job.spec.same_zone && !job.spec.spread) return std::nullopt;
   constexpr auto kAny = std::numeric_limits<std::size_t>::max();
   std::map<std::string, std::size_t> zones;
   for (const auto& type : types_)
@@ -207,11 +207,11 @@
   }
   // A task on a machine whose zone is not known yet might be in any of them.
   const std::size_t unknown = taken.contains("") ? taken[""] : 0;
-  const std::size_t most = (static_cast<std::size_t>(job.spec.tasks) + 1) / 2;
+  const std::size_t most = (static_cast<std::size_t>(job.spec.task_count) + 1) / 2;
   for (auto& [zone, left] : zones) {
     const std::size_t here = (taken.contains(zone) ? taken[zone] : 0) + unknown;
     if (job.spec.spread) left = most > here ? most - here : 0;
-    if (job.spec.one_zone && !taken.empty() && (unknown > 0 || !taken.contains(zone))) left = 0;
+    if (job.spec.same_zone && !taken.empty() && (unknown > 0 || !taken.contains(zone))) left = 0;
   }
   return zones;
 }
@@ -227,8 +227,8 @@
     const double left = (limit - usage + kRounding) / each;
     return left <= 0 ? 0 : static_cast<std::size_t>(std::min(left, static_cast<double>(kAny)));
   };
-  return std::min(fits(team->limit.cpus, used.cpus, job.spec.each.cpus),
-                  fits(team->limit.gpus, used.gpus, job.spec.each.gpus));
+  return std::min(fits(team->limit.cpus, used.cpus, job.spec.task_resources.cpus),
+                  fits(team->limit.gpus, used.gpus, job.spec.task_resources.gpus));
 }
 
 void Cluster::find_scarce_types(Time now) {
@@ -276,10 +276,10 @@
 
 std::optional<double> Cluster::cost_of(const Job& job, const Machine& machine, double largest_cpus) const {
   const auto free = room(machine);
-  if (!job.spec.each.fits_into(free)) return std::nullopt;
+  if (!job.spec.task_resources.fits_into(free)) return std::nullopt;
   if (!allowed_on(job, machine.type_number, machine.zone, machine.spot)) return std::nullopt;
   if (job.failed_on.contains(machine.id)) return std::nullopt;
-  double cost = (free.cpus - job.spec.each.cpus) / largest_cpus * limits::kLeftoverWeight;
+  double cost = (free.cpus - job.spec.task_resources.cpus) / largest_cpus * limits::kLeftoverWeight;
   if (machine.placements.empty()) cost += limits::kOpenWeight;
   if (!machine.spot && job.spec.spot_allowed) cost += limits::kOrdinaryWeight;
   if (!machine.failed_jobs.empty()) cost += limits::kFailedWeight;
@@ -307,8 +307,8 @@
   put_placement(job, index, placement);
 }
 
-double Cluster::report_round_s() const {
-  return limits::kReportRound * config_.report_s;
+double Cluster::heartbeat_round_s() const {
+  return limits::kReportRound * config_.heartbeat_interval_s;
 }
 
 std::size_t Cluster::tier(const Machine& machine) {
@@ -317,9 +317,9 @@
 
 void Cluster::find_open_tier(Time now) {
   double waiting = 0;
-  for (const auto& ranked : ranking_) waiting += ranked.job->waiting() * ranked.job->spec.each.cpus;
+  for (const auto& ranked : ranking_) waiting += ranked.job->waiting() * ranked.job->spec.task_resources.cpus;
   Smallest smallest;
-  for (const auto& [id, job] : jobs_) smallest.add(job.spec.each);
+  for (const auto& [id, job] : jobs_) smallest.add(job.spec.task_resources);
   smallest_task_ = smallest.size();
   constexpr std::size_t kTiers = 4;
   std::array<double, kTiers> free{};
@@ -345,7 +345,7 @@
   // Within a round all machines report, and the better ones among them may do. Strewn over whatever reported
   // first, the work of a quiet hour kept the whole fleet up.
   const double waited = now - job.waiting_since;
-  const bool picky = !ranked.hasty && job.spec.spot_allowed && waited < report_round_s();
+  const bool picky = !ranked.hasty && job.spec.spot_allowed && waited < heartbeat_round_s();
   std::vector<std::pair<double, Machine*>> offers;
   for (Machine* machine : open) {
     ++scanned_;
@@ -361,7 +361,7 @@
   std::size_t placed = 0;
   for (const auto& [cost, machine] : offers) {
     // A machine is filled before the next is begun: one fetch of the image serves all its tasks.
-    while (placed < most && job.waiting() > 0 && job.spec.each.fits_into(room(*machine))) {
+    while (placed < most && job.waiting() > 0 && job.spec.task_resources.fits_into(room(*machine))) {
       if (zones) {
         auto zone = zones->find(machine->zone);
         if (zone == zones->end() || zone->second == 0) break;
@@ -386,7 +386,7 @@
   std::size_t placed = 0;
   const auto& line = ranking(now);
   Smallest smallest;
-  for (const auto& ranked : line) smallest.add(ranked.job->spec.each);
+  for (const auto& ranked : line) smallest.add(ranked.job->spec.task_resources);
   const auto& least = smallest.size();
   // Once for all jobs: at each of them again, full machines took most of a large fleet's processor time.
   std::vector<Machine*> open;
@@ -413,7 +413,7 @@
       if (job.waiting() == 0 || now < job.not_before) continue;
       bool fits = false;
       for (std::size_t i = 0; i < types_.size() && !fits; ++i)
-        fits = job.suits_type(i) && job.spec.each.fits_into(most_free[i]);
+        fits = job.suits_type(i) && job.spec.task_resources.fits_into(most_free[i]);
       if (!fits) continue;
       if (job.is_gang()) {
         if (!any_image) place_gang(job, open, now);
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -35,9 +35,9 @@
     // Work for idle hours makes way before that of owners who wait for it.
     const auto above_low =
         static_cast<double>(other.spec.priority) - static_cast<double>(wire::Priority::low);
-    victims.emplace_back(
-        (other.spec.checkpoint_s > 0 ? other.spec.save_s : ran) + limits::kStopPriorityWeight * above_low,
-        task);
+    victims.emplace_back((other.spec.checkpoint_interval_s > 0 ? other.spec.checkpoint_duration_s : ran) +
+                             limits::kStopPriorityWeight * above_low,
+                         task);
   }
   std::sort(victims.begin(), victims.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
   return victims;
@@ -46,7 +46,7 @@
 std::optional<Cluster::Chance> Cluster::find_chance(const Ranked& claimant, Machine& machine,
                                                     wire::Resources free, std::size_t wanted,
                                                     Time now) const {
-  const auto& each = claimant.job->spec.each;
+  const auto& each = claimant.job->spec.task_resources;
   Chance chance;
   chance.machine = &machine;
   double loss = 0;
@@ -55,7 +55,7 @@
     const bool dear = task.job->spec.priority > wire::Priority::low;
     if (dear && chance.tasks > 0) break;
     chance.dear = chance.dear || dear;
-    free += task.job->spec.each;
+    free += task.job->spec.task_resources;
     chosen.push_back(task);
     loss += cost + 1;
     if (!each.fits_into(free)) continue;
@@ -73,14 +73,14 @@
 wire::Resources Cluster::room_after_stops(const Machine& machine) const {
   auto free = room(machine);
   for (const auto& task : machine.placements)
-    if (task.placement().stopping) free += task.job->spec.each;
+    if (task.placement().stopping) free += task.job->spec.task_resources;
   return free;
 }
 
 void Cluster::make_room_for(const Ranked& claimant, const std::vector<Machine*>& open, ClaimedRoom& claimed,
                             Time now) {
   const Job& job = *claimant.job;
-  const auto& each = job.spec.each;
+  const auto& each = job.spec.task_resources;
   const auto zones = zone_room(job);
   // Room for all that waits: made for one task at a time, an array of two dozen took most of a minute.
   // Where zones matter, and where what is stopped is more than work for idle hours, it goes step by step
@@ -113,7 +113,8 @@
     if (chance.dear && coming) continue;
     coming = true;
     const std::size_t tasks = std::min(wanted, chance.tasks);
-    for (const auto& victim : chance.victims) stop(victim.placement(), victim.job->spec.save_s);
+    for (const auto& victim : chance.victims)
+      stop(victim.placement(), victim.job->spec.checkpoint_duration_s);
     claimed[chance.machine] += each * static_cast<double>(tasks);
     wanted -= tasks;
   }
--- a/src/core/records.cpp
+++ b/src/core/records.cpp
@@ -22,7 +22,7 @@
 std::string linger(const JobId& id) {
   return kLingerPrefix + id.value;
 }
-std::string page(Token token, std::uint64_t number) {
+std::string page(FencingToken token, std::uint64_t number) {
   // All digits of 64 bits, so that the order of the text is the order of the numbers.
   char text[48];
   std::snprintf(text, sizeof text, "%020llu-%020llu", static_cast<unsigned long long>(token.value),
@@ -226,13 +226,13 @@
 }
 
 Json to_json(const FinalRecord& record) {
-  return Json{{"stage", wire::spelled(record.stage)}, {"done", record.done}};
+  return Json{{"stage", wire::spelled(record.state)}, {"done", record.done}};
 }
 
 FinalRecord parse_final_record(const Json& value) {
-  auto stage = wire::stage_from(wire::require_text(value, "stage"));
-  if (!stage) throw Malformed("invalid stage in record");
-  return {*stage, wire::require_count(value, "done")};
+  auto state = wire::job_state_from(wire::require_text(value, "stage"));
+  if (!state) throw Malformed("invalid stage in record");
+  return {*state, wire::require_count(value, "done")};
 }
 
 namespace {
@@ -264,10 +264,10 @@
   record.cancelled_ms = time_of_day_ms;
   if (!fits_value(record, value_bytes)) drop_what_places_it(record);
   wire::Transaction txn;
-  txn.guards.push_back({key::open(id), version});
-  txn.puts.push_back({key::over(id), to_json(FinalRecord{wire::Stage::cancelled, done}), {}});
+  txn.preconditions.push_back({key::open(id), version});
+  txn.puts.push_back({key::over(id), to_json(FinalRecord{wire::JobState::cancelled, done}), {}});
   txn.puts.push_back({key::linger(id), to_json(record), {}});
-  txn.removals.push_back(key::open(id));
+  txn.deletions.push_back(key::open(id));
   return txn;
 }
 
--- a/src/core/records.hpp
+++ b/src/core/records.hpp
@@ -28,7 +28,7 @@
 std::string linger(const JobId& id);
 // Pages are read in the order of their keys, which is the order in which they were written: tokens of later
 // leaders are higher.
-std::string page(Token token, std::uint64_t number);
+std::string page(FencingToken token, std::uint64_t number);
 // One part of the record of a gang's attempt.
 std::string gang_part(const JobId& id, Attempt attempt, std::uint32_t part);
 }  // namespace key
@@ -43,7 +43,7 @@
 
 // The record of a job that is over.
 struct FinalRecord {
-  wire::Stage stage = wire::Stage::done;
+  wire::JobState state = wire::JobState::done;
   std::uint64_t done = 0;
 };
 
--- a/src/core/reports.cpp
+++ b/src/core/reports.cpp
@@ -14,29 +14,30 @@
 
 // ---- Reports ----------------------------------------------------------------------------------------------
 
-ReportOutcome Cluster::take_report(const wire::Report& report, Time now) {
-  if (report.token > token_) return ReportOutcome::overtaken;
+HeartbeatOutcome Cluster::apply_heartbeat(const wire::Heartbeat& heartbeat, Time now) {
+  if (heartbeat.token > token_) return HeartbeatOutcome::superseded;
   // A machine that was deleted can't run anything; its report was on the way for long.
-  if (tombstones_.contains(report.machine)) return ReportOutcome::stale;
-  Machine& machine = machine_named(report.machine, now);
+  if (tombstones_.contains(heartbeat.machine)) return HeartbeatOutcome::stale;
+  Machine& machine = machine_named(heartbeat.machine, now);
   // Also a late copy of a report that was answered: it renews nothing and proves nothing.
-  if (std::pair(report.session, report.sequence) <= std::pair(machine.session, machine.sequence))
-    return ReportOutcome::stale;
+  if (std::pair(heartbeat.incarnation, heartbeat.sequence_number) <=
+      std::pair(machine.incarnation, machine.sequence_number))
+    return HeartbeatOutcome::stale;
   if (machine.state != MachineState::up) {
     machine.state = MachineState::up;
     machine.idle_since = now;
   }
-  describe(machine, report.type, report.zone, report.spot);
-  const bool was_answered = machine.last_answer > 0 && !machine.answer_open;
+  describe(machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
+  const bool was_answered = machine.last_response_at > 0 && !machine.answer_open;
   const bool was_trusted = machine.trusted;
-  machine.session = report.session;
-  machine.sequence = report.sequence;
-  machine.last_report = now;
+  machine.incarnation = heartbeat.incarnation;
+  machine.sequence_number = heartbeat.sequence_number;
+  machine.last_heartbeat_at = now;
   machine.answer_open = true;
   open_answers_.insert(&machine);
-  if (machine.address != report.address) machine.address = report.address;
-  if (report.notice_s) machine.ends_at = now + *report.notice_s;
-  machine.trusted = report.token == token_;
+  if (machine.address != heartbeat.address) machine.address = heartbeat.address;
+  if (heartbeat.termination_notice_s) machine.ends_at = now + *heartbeat.termination_notice_s;
+  machine.trusted = heartbeat.token == token_;
   place_wanted_ = true;
   if (!machine.trusted && was_answered) {
     // It reports, but our answers do not reach it.
@@ -47,22 +48,22 @@
   // Before the worker has taken our token an earlier leader may still change what it runs: nothing absent
   // from this report is proved gone.
   if (machine.trusted && loaded_) {
-    take_tasks(machine, report, now);
+    take_tasks(machine, heartbeat, now);
     stop_for_notices(machine, now);
   }
-  return ReportOutcome::taken;
+  return HeartbeatOutcome::accepted;
 }
 
-void Cluster::take_tasks(Machine& machine, const wire::Report& report, Time now) {
+void Cluster::take_tasks(Machine& machine, const wire::Heartbeat& heartbeat, Time now) {
   const auto forgotten = std::exchange(machine.forgets, {});
   machine.leftovers.clear();
   machine.strangers = false;
-  ++machine.reports;
+  ++machine.heartbeats;
   bool heeded = !forgotten.empty();
   bool unheeded = false;
   std::vector<std::pair<PlacedTask, const ReportedTask*>> exited;
   std::vector<Job*> finished_gangs;
-  for (const auto& task : report.tasks) {
+  for (const auto& task : heartbeat.tasks) {
     auto job = jobs_.find(task.task.job);
     Placement* placement = nullptr;
     if (job != jobs_.end()) {
@@ -78,7 +79,7 @@
     if (placement) {
       heeded = heeded || (placement->sent && !placement->shown);
       placement->shown = true;
-      placement->shown_in = machine.reports;
+      placement->shown_in = machine.heartbeats;
       placement->inherited = false;
       if (ended) {
         exited.push_back({{&job->second, task.task.index}, &task});
@@ -110,7 +111,7 @@
   const auto placements = machine.placements;
   for (const auto& task : placements) {
     const Placement& placement = task.placement();
-    if (placement.shown && placement.shown_in == machine.reports) continue;
+    if (placement.shown && placement.shown_in == machine.heartbeats) continue;
     if (placement.unsent()) {
       // Its start has yet to go out, and one that is to be stopped will not: kept, it waited for ever for a
       // report to show what was never there. One taken over from an earlier leader was not sent by us either,
@@ -119,8 +120,8 @@
       if (placement.stopping) release(*task.job, task.index, now);
       continue;
     }
-    const bool newer_session = report.session > placement.sent_session;
-    if (placement.inherited || newer_session || placement.shown || placement.stopping) {
+    const bool newer_incarnation = heartbeat.incarnation > placement.dispatched_incarnation;
+    if (placement.inherited || newer_incarnation || placement.shown || placement.stopping) {
       // Proved gone: the worker knows our token, and this report is newer than any start we sent it.
       release(*task.job, task.index, now);
       drop_if_gone(*task.job, now);
@@ -150,14 +151,14 @@
   const Placement placement = job.placements.at(index);
   switch (task.cause) {
     case ExitCause::done:
-      if (job.spec.shape == wire::Shape::array && !job.tasks[index].done) {
+      if (job.spec.kind == wire::JobKind::array && !job.tasks[index].done) {
         job.tasks[index].done = true;
         ++job.done_count;
         job.begun = true;
         page_wanted_ = true;  // the worker may forget it only then
         if (placement.running_since > placement.placed_at && placement.sent) {
           const double took_s = now - placement.running_since;
-          estimates_.observe(job.spec.job_class, job.spec.estimate_s, took_s);
+          estimates_.observe(job.spec.job_class, job.spec.estimated_run_s, took_s);
           const bool slow = placement.attempt == 1 && overlong(job, took_s, limits::kSlowTimes);
           machine.slow_signs = slow ? machine.slow_signs + 1 : 0;
           job.ran_s += took_s;
@@ -249,11 +250,11 @@
   for (const auto& task : machine.placements) {
     const auto& spec = task.job->spec;
     Placement& placement = task.placement();
-    if (placement.stopping || placement.attempt > 1 || spec.shape != wire::Shape::array) continue;
+    if (placement.stopping || placement.attempt > 1 || spec.kind != wire::JobKind::array) continue;
     const double ran_s = placement.ran_s(now);
     // One that is nearly through even so is better left alone; one that saves loses little.
-    if (spec.checkpoint_s > 0 || ran_s < limits::kSurelySlowTimes * task.job->mean_run_s())
-      stop(placement, spec.save_s);
+    if (spec.checkpoint_interval_s > 0 || ran_s < limits::kSurelySlowTimes * task.job->mean_run_s())
+      stop(placement, spec.checkpoint_duration_s);
   }
 }
 
@@ -272,56 +273,57 @@
   }
 }
 
-std::vector<wire::Order> Cluster::orders_for(const MachineId& id, bool allow_starts, Time) {
-  std::vector<wire::Order> orders;
+std::vector<wire::Command> Cluster::commands_for(const MachineId& id, bool allow_starts, Time) {
+  std::vector<wire::Command> commands;
   auto found = machines_.find(id);
-  if (found == machines_.end() || !loaded_ || !found->second.trusted) return orders;
+  if (found == machines_.end() || !loaded_ || !found->second.trusted) return commands;
   Machine& machine = found->second;
   for (const auto& task : machine.leftovers) {
-    if (orders.size() >= limits::kMaxOrders) return orders;
+    if (commands.size() >= limits::kMaxCommandsPerResponse) return commands;
     if (task.state != TaskState::exited) {
-      orders.push_back({wire::Verb::stop, task.task, task.attempt, 0});
+      commands.push_back({wire::CommandKind::stop, task.task, task.attempt, 0});
       continue;
     }
     // A result must be on record before the only witness of it forgets.
     if (!result_on_record(task)) continue;
-    orders.push_back({wire::Verb::forget, task.task, task.attempt, 0});
+    commands.push_back({wire::CommandKind::acknowledge, task.task, task.attempt, 0});
     machine.forgets.emplace_back(task.task, task.attempt);
   }
   for (const auto& task : machine.placements) {
-    if (orders.size() >= limits::kMaxOrders) return orders;
+    if (commands.size() >= limits::kMaxCommandsPerResponse) return commands;
     Placement& placement = task.placement();
-    const wire::TaskRef ref{task.job->spec.id, task.index};
+    const wire::TaskId ref{task.job->spec.id, task.index};
     if (placement.stopping) {
-      orders.push_back({wire::Verb::stop, ref, placement.attempt, placement.grace_s});
+      commands.push_back({wire::CommandKind::stop, ref, placement.attempt, placement.grace_s});
     } else if (allow_starts && placement.unsent() && !machine.draining && !machine.ends_at &&
                !machine.returning && task.job->place_on_record(task.index)) {
-      orders.push_back({wire::Verb::start, ref, placement.attempt, 0});
+      commands.push_back({wire::CommandKind::start, ref, placement.attempt, 0});
       placement.sent = true;
-      placement.sent_session = machine.session;
-      placement.sent_sequence = machine.sequence;
+      placement.dispatched_incarnation = machine.incarnation;
+      placement.sent_sequence = machine.sequence_number;
     }
   }
-  return orders;
+  return commands;
 }
 
 bool Cluster::result_on_record(const ReportedTask& task) const {
   if (task.cause != ExitCause::done) return true;
   auto job = jobs_.find(task.task.job);
-  return job == jobs_.end() || job->second.cancelled || task.task.index >= job->second.spec.tasks ||
+  return job == jobs_.end() || job->second.cancelled || task.task.index >= job->second.spec.task_count ||
          job->second.result_on_record(task.task.index);
 }
 
-bool Cluster::awaits_answer(const wire::Report& report) const {
-  auto found = machines_.find(report.machine);
-  return found != machines_.end() && found->second.answer_open && found->second.session == report.session &&
-         found->second.sequence == report.sequence;
+bool Cluster::awaits_answer(const wire::Heartbeat& heartbeat) const {
+  auto found = machines_.find(heartbeat.machine);
+  return found != machines_.end() && found->second.answer_open &&
+         found->second.incarnation == heartbeat.incarnation &&
+         found->second.sequence_number == heartbeat.sequence_number;
 }
 
 void Cluster::answered(const MachineId& id, Time now) {
   auto found = machines_.find(id);
   if (found == machines_.end()) return;
-  found->second.last_answer = now;
+  found->second.last_response_at = now;
   found->second.answer_open = false;
   open_answers_.erase(&found->second);
 }
@@ -332,7 +334,7 @@
   return std::none_of(machine.placements.begin(), machine.placements.end(), [&](const PlacedTask& task) {
     const Placement& placement = task.placement();
     if (placement.stopping) return true;
-    if (task.job->spec.shape == wire::Shape::service || placement.running_since == 0) return false;
+    if (task.job->spec.kind == wire::JobKind::service || placement.running_since == 0) return false;
     return now - placement.running_since > limits::kHoldProgress * task.job->expected_s;
   });
 }
@@ -341,19 +343,19 @@
   auto found = machines_.find(id);
   if (found == machines_.end() || !loaded_ || !found->second.trusted) return AnswerDelay::none;
   const Machine& machine = found->second;
-  bool orders = false;
+  bool commands = false;
   for (const auto& task : machine.leftovers) {
     if (!result_on_record(task)) return AnswerDelay::save;
-    orders = true;
+    commands = true;
   }
   for (const auto& task : machine.placements) {
     const Placement& placement = task.placement();
     const bool unsent = placement.unsent();
     if (unsent && !placement.stopping && !task.job->gang.broken && !task.job->place_on_record(task.index))
       return AnswerDelay::save;
-    orders = orders || unsent || placement.stopping;
+    commands = commands || unsent || placement.stopping;
   }
-  if (orders) return AnswerDelay::none;
+  if (commands) return AnswerDelay::none;
   return machine.placements.empty() || has_lasting_room(machine, now) ? AnswerDelay::idle : AnswerDelay::none;
 }
 
--- a/src/core/timers.cpp
+++ b/src/core/timers.cpp
@@ -13,7 +13,7 @@
   const double lease = config_.lease_s * (1 + 2 * limits::kDrift) + limits::kLeaseMargin;
   // Only a worker that has shown our token is known to live on our answers alone; one that an earlier
   // leader may still keep alive is waited for or deleted.
-  return machine.trusted && now - std::max(machine.last_answer, machine.last_report) > lease;
+  return machine.trusted && now - std::max(machine.last_response_at, machine.last_heartbeat_at) > lease;
 }
 
 void Cluster::expire_leases(Time now) {
@@ -61,10 +61,11 @@
     }
     const double ran = placement.ran_s(now);
     const double remaining = std::max(0.0, task.job->expected_s - ran);
-    if (spec.checkpoint_s > 0) {
+    if (spec.checkpoint_interval_s > 0) {
       // Orders travel only with answers, so the last chance is a report period before it is needed.
-      if (left <= spec.save_s + limits::kNoticeMargin + 1.25 * config_.report_s) stop(placement, spec.save_s);
-    } else if (spec.shape == wire::Shape::service || remaining > left) {
+      if (left <= spec.checkpoint_duration_s + limits::kNoticeMargin + 1.25 * config_.heartbeat_interval_s)
+        stop(placement, spec.checkpoint_duration_s);
+    } else if (spec.kind == wire::JobKind::service || remaining > left) {
       stop(placement, 0);  // it can't end here: the sooner it starts again elsewhere the better
     }
   }
--- a/src/peer/peer.cpp
+++ b/src/peer/peer.cpp
@@ -23,7 +23,7 @@
 
 template <class Archive>
 void serialize(Archive& archive, PolledJob& message) {
-  archive(message.status, message.job.stage, message.job.done, message.job.running);
+  archive(message.status, message.job.state, message.job.done, message.job.running);
 }
 
 template <class Archive>
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -88,12 +88,12 @@
     co_return;
   }
   wire::Transaction claim;
-  claim.guards.push_back({kLeaderKey, version});
+  claim.preconditions.push_back({kLeaderKey, version});
   claim.puts.push_back({kLeaderKey, leader_value(host_, lease.value), lease.value});
   Result<Committed> committed =
       co_await state_.commit(claim, Urgency::high, loop_.now() + net::seconds(limits::kStateTimeout));
   if (committed) {
-    take_office({Token(committed.value.revision.value), lease.value}, asked_at);
+    take_office({FencingToken(committed.value.revision.value), lease.value}, asked_at);
     co_return;
   }
   if (committed.outcome == Outcome::unknown) {
@@ -101,7 +101,7 @@
     Result<wire::KeyValue> current =
         co_await state_.get(kLeaderKey, loop_.now() + net::seconds(limits::kStateTimeout));
     if (current && current.value.value == leader_value(host_, lease.value)) {
-      take_office({Token(current.value.version.value), lease.value}, asked_at);
+      take_office({FencingToken(current.value.version.value), lease.value}, asked_at);
       co_return;
     }
   }
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -14,7 +14,7 @@
 inline constexpr const char* kLeaderKey = "leader";
 
 struct Leadership {
-  Token token;
+  FencingToken token;
   LeaseId lease;
 };
 
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -145,7 +145,7 @@
 
 net::Task<Result<Committed>> StateClient::commit(wire::Transaction transaction, Urgency urgency,
                                                  net::TimePoint deadline) {
-  const auto changes = static_cast<double>(transaction.puts.size() + transaction.removals.size());
+  const auto changes = static_cast<double>(transaction.puts.size() + transaction.deletions.size());
   // One that only compares changes nothing: in line with the writes, questions about jobs went unanswered for
   // as long as there was more to write than the service takes.
   bool granted = true;
@@ -159,9 +159,9 @@
   if (reply.outcome == Outcome::conflict) {
     Result<Committed> result{Outcome::conflict, {}};
     try {
-      result.value.failed_guards = wire::parse_failed_guards(reply.body);
+      result.value.failed_preconditions = wire::parse_failed_preconditions(reply.body);
     } catch (const wire::Malformed&) {
-      result.value.failed_guards.clear();  // the caller reads its keys again either way
+      result.value.failed_preconditions.clear();  // the caller reads its keys again either way
     }
     co_return result;
   }
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -36,7 +36,7 @@
 
 struct Committed {
   Revision revision;
-  std::vector<std::string> failed_guards;
+  std::vector<std::string> failed_preconditions;
 };
 
 struct Limits {
--- a/src/wire/ids.hpp
+++ b/src/wire/ids.hpp
@@ -19,10 +19,10 @@
 
 using JobId = StrongId<struct JobTag, std::string>;
 using MachineId = StrongId<struct MachineTag, std::string>;
-using RentId = StrongId<struct RentTag, std::string>;
+using ScaleOutId = StrongId<struct ScaleOutTag, std::string>;
 using LeaseId = StrongId<struct LeaseTag, std::uint64_t>;
 // The token that entitles a leader to give commands.
-using Token = StrongId<struct TokenTag, std::uint64_t>;
+using FencingToken = StrongId<struct FencingTokenTag, std::uint64_t>;
 // A revision of the state service: of its whole contents or of one key.
 using Revision = StrongId<struct RevisionTag, std::uint64_t>;
 
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -14,16 +14,16 @@
 template <class Enum, std::size_t N>
 using Spelling = std::array<std::pair<std::string_view, Enum>, N>;
 
-constexpr Spelling<Shape, 3> kShapes{
-    {{"batch", Shape::array}, {"group", Shape::gang}, {"standing", Shape::service}}};
+constexpr Spelling<JobKind, 3> kJobKinds{
+    {{"batch", JobKind::array}, {"group", JobKind::gang}, {"standing", JobKind::service}}};
 constexpr Spelling<Priority, 4> kPriorities{{{"critical", Priority::critical},
                                              {"high", Priority::high},
                                              {"normal", Priority::normal},
                                              {"low", Priority::low}}};
-constexpr Spelling<Stage, 4> kStages{{{"pending", Stage::pending},
-                                      {"running", Stage::running},
-                                      {"done", Stage::done},
-                                      {"cancelled", Stage::cancelled}}};
+constexpr Spelling<JobState, 4> kJobStates{{{"pending", JobState::pending},
+                                            {"running", JobState::running},
+                                            {"done", JobState::done},
+                                            {"cancelled", JobState::cancelled}}};
 constexpr Spelling<TaskState, 5> kTaskStates{{{"pulling", TaskState::fetching},
                                               {"waiting", TaskState::waiting},
                                               {"running", TaskState::running},
@@ -37,10 +37,11 @@
                                           {"no_such", ExitCause::unknown_job},
                                           {"mates_gone", ExitCause::peer_lost},
                                           {"alone", ExitCause::gang_incomplete}}};
-constexpr Spelling<Verb, 3> kVerbs{{{"run", Verb::start}, {"kill", Verb::stop}, {"forget", Verb::forget}}};
-constexpr Spelling<MachineStage, 3> kMachineStages{{{"booting", MachineStage::booting},
-                                                    {"running", MachineStage::running},
-                                                    {"failed", MachineStage::failed}}};
+constexpr Spelling<CommandKind, 3> kCommandKinds{
+    {{"run", CommandKind::start}, {"kill", CommandKind::stop}, {"forget", CommandKind::acknowledge}}};
+constexpr Spelling<InstanceState, 3> kInstanceStates{{{"booting", InstanceState::booting},
+                                                      {"running", InstanceState::running},
+                                                      {"failed", InstanceState::failed}}};
 
 template <class Enum, std::size_t N>
 std::optional<Enum> meaning(const Spelling<Enum, N>& table, std::string_view text) {
@@ -151,12 +152,13 @@
   spec.id = JobId(std::move(id));
   spec.job_class = checked_name(require_text(body, "lane"), "lane");
   spec.team = checked_name(require_text(body, "crew"), "crew");
-  spec.shape = require_enum(body, "shape", kShapes);
+  spec.kind = require_enum(body, "shape", kJobKinds);
   spec.priority = require_enum(body, "urgency", kPriorities);
   auto tasks = require_count(body, "pieces");
   if (tasks == 0 || tasks > limits::kMaxTasks) throw Malformed("out of range: pieces");
-  spec.tasks = static_cast<TaskIndex>(tasks);
-  spec.each = {bounded_amount(body, "vcpus"), bounded_amount(body, "gpus"), bounded_amount(body, "ram_gb")};
+  spec.task_count = static_cast<TaskIndex>(tasks);
+  spec.task_resources = {bounded_amount(body, "vcpus"), bounded_amount(body, "gpus"),
+                         bounded_amount(body, "ram_gb")};
   spec.image = checked_name(require_text(body, "hull"), "hull");
   spec.image_gb = bounded_amount(body, "image_gb");
   if (const Json* types = find(body, "builds")) {
@@ -164,12 +166,12 @@
     if (spec.machine_types->empty()) throw Malformed("empty: builds");
   }
   if (auto zone = optional_text(body, "polder")) spec.zone = checked_name(*zone, "polder");
-  spec.one_zone = require_flag(body, "same_place");
+  spec.same_zone = require_flag(body, "same_place");
   spec.spread = require_flag(body, "spread");
   spec.spot_allowed = require_flag(body, "ebbtide");
-  spec.estimate_s = bounded_amount(body, "expect_s");
-  spec.checkpoint_s = bounded_amount(body, "mark_s");
-  spec.save_s = bounded_amount(body, "stow_s");
+  spec.estimated_run_s = bounded_amount(body, "expect_s");
+  spec.checkpoint_interval_s = bounded_amount(body, "mark_s");
+  spec.checkpoint_duration_s = bounded_amount(body, "stow_s");
   if (auto due = optional_amount(body, "due_s")) spec.deadline_s = checked_amount(*due, "due_s");
   return spec;
 }
@@ -178,54 +180,54 @@
   return Json{{"id", spec.id.value},
               {"lane", spec.job_class},
               {"crew", spec.team},
-              {"shape", spelling_of(kShapes, spec.shape)},
+              {"shape", spelling_of(kJobKinds, spec.kind)},
               {"urgency", spelling_of(kPriorities, spec.priority)},
-              {"pieces", spec.tasks},
-              {"vcpus", spec.each.cpus},
-              {"gpus", spec.each.gpus},
-              {"ram_gb", spec.each.memory_gb},
+              {"pieces", spec.task_count},
+              {"vcpus", spec.task_resources.cpus},
+              {"gpus", spec.task_resources.gpus},
+              {"ram_gb", spec.task_resources.memory_gb},
               {"hull", spec.image},
               {"image_gb", spec.image_gb},
               {"builds", nullable(spec.machine_types)},
               {"polder", nullable(spec.zone)},
-              {"same_place", spec.one_zone},
+              {"same_place", spec.same_zone},
               {"spread", spec.spread},
               {"ebbtide", spec.spot_allowed},
-              {"expect_s", spec.estimate_s},
-              {"mark_s", spec.checkpoint_s},
-              {"stow_s", spec.save_s},
+              {"expect_s", spec.estimated_run_s},
+              {"mark_s", spec.checkpoint_interval_s},
+              {"stow_s", spec.checkpoint_duration_s},
               {"due_s", nullable(spec.deadline_s)}};
 }
 
-std::string_view spelled(Stage stage) {
-  return spelling_of(kStages, stage);
+std::string_view spelled(JobState state) {
+  return spelling_of(kJobStates, state);
 }
-std::optional<Stage> stage_from(std::string_view text) {
-  return meaning(kStages, text);
+std::optional<JobState> job_state_from(std::string_view text) {
+  return meaning(kJobStates, text);
 }
 
-Json job_answer(const JobId& id, Stage stage) {
-  return Json{{"id", id.value}, {"stage", spelled(stage)}};
+Json job_response(const JobId& id, JobState state) {
+  return Json{{"id", id.value}, {"stage", spelled(state)}};
 }
 
-Json job_status_answer(const JobId& id, const JobStatus& status) {
-  auto out = job_answer(id, status.stage);
+Json job_status_response(const JobId& id, const JobStatus& status) {
+  auto out = job_response(id, status.state);
   out["done"] = status.done;
   out["running"] = status.running;
   return out;
 }
 
-std::optional<TaskRef> parse_task(std::string_view text) {
+std::optional<TaskId> parse_task_id(std::string_view text) {
   auto slash = text.find('/');
   if (slash == std::string_view::npos || !is_job_id(text.substr(0, slash))) return std::nullopt;
   auto digits = text.substr(slash + 1);
   TaskIndex index = 0;
   auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), index);
   if (digits.empty() || error != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
-  return TaskRef{JobId(std::string(text.substr(0, slash))), index};
+  return TaskId{JobId(std::string(text.substr(0, slash))), index};
 }
 
-std::string spelled(const TaskRef& task) {
+std::string spelled(const TaskId& task) {
   return task.job.value + "/" + std::to_string(task.index);
 }
 
@@ -243,38 +245,39 @@
 
 }  // namespace
 
-Report parse_report(const Json& body) {
-  Report report;
-  report.machine = MachineId(checked_name(require_text(body, "dyke"), "dyke"));
-  report.address = require_text(body, "endpoint");
-  report.type = checked_name(require_text(body, "build"), "build");
-  report.zone = checked_name(require_text(body, "polder"), "polder");
-  report.spot = flag_or(body, "ebbtide", false);
-  report.session = require_count(body, "watch");
-  report.sequence = require_count(body, "tally");
-  report.token = Token(require_count(body, "warrant"));
-  report.notice_s = optional_amount(body, "warning_s");
+Heartbeat parse_heartbeat(const Json& body) {
+  Heartbeat heartbeat;
+  heartbeat.machine = MachineId(checked_name(require_text(body, "dyke"), "dyke"));
+  heartbeat.address = require_text(body, "endpoint");
+  heartbeat.type = checked_name(require_text(body, "build"), "build");
+  heartbeat.zone = checked_name(require_text(body, "polder"), "polder");
+  heartbeat.spot = flag_or(body, "ebbtide", false);
+  heartbeat.incarnation = require_count(body, "watch");
+  heartbeat.sequence_number = require_count(body, "tally");
+  heartbeat.token = FencingToken(require_count(body, "warrant"));
+  heartbeat.termination_notice_s = optional_amount(body, "warning_s");
   for (const auto& each : require_list(body, "pieces")) {
     ReportedTask task;
-    auto ref = parse_task(require_text(each, "piece"));
+    auto ref = parse_task_id(require_text(each, "piece"));
     if (!ref) throw Malformed("invalid piece");
     task.task = *std::move(ref);
     task.attempt = require_count(each, "try");
     read_state(each, task);
     task.saved = flag_or(each, "stored", false);
-    report.tasks.push_back(std::move(task));
+    heartbeat.tasks.push_back(std::move(task));
   }
-  return report;
+  return heartbeat;
 }
 
 namespace {
 
-Json orders_to_json(const std::vector<Order>& orders) {
+Json orders_to_json(const std::vector<Command>& commands) {
   Json list = Json::array();
-  for (const auto& order : orders) {
-    Json each{
-        {"verb", spelling_of(kVerbs, order.verb)}, {"piece", spelled(order.task)}, {"try", order.attempt}};
-    if (order.verb == Verb::stop) each["leeway_s"] = order.grace_s;
+  for (const auto& command : commands) {
+    Json each{{"verb", spelling_of(kCommandKinds, command.kind)},
+              {"piece", spelled(command.task)},
+              {"try", command.attempt}};
+    if (command.kind == CommandKind::stop) each["leeway_s"] = command.grace_s;
     list.push_back(std::move(each));
   }
   return list;
@@ -282,15 +285,15 @@
 
 }  // namespace
 
-Json report_answer(Token token, const std::vector<Order>& orders) {
-  return Json{{"warrant", token.value}, {"orders", orders_to_json(orders)}};
+Json heartbeat_response(FencingToken token, const std::vector<Command>& commands) {
+  return Json{{"warrant", token.value}, {"orders", orders_to_json(commands)}};
 }
 
-Json direct_orders(Token token, std::uint64_t session, const std::vector<Order>& orders) {
-  return Json{{"warrant", token.value}, {"watch", session}, {"orders", orders_to_json(orders)}};
+Json direct_commands(FencingToken token, std::uint64_t incarnation, const std::vector<Command>& commands) {
+  return Json{{"warrant", token.value}, {"watch", incarnation}, {"orders", orders_to_json(commands)}};
 }
 
-Json redirect_answer(const std::string& host) {
+Json redirect_response(const std::string& host) {
   return Json{{"harbour", host}};
 }
 
@@ -336,7 +339,7 @@
     machine.type = require_text(each, "build");
     machine.zone = require_text(each, "polder");
     machine.spot = flag_or(each, "ebbtide", false);
-    machine.stage = require_enum(each, "stage", kMachineStages);
+    machine.state = require_enum(each, "stage", kInstanceStates);
     machine.age_s = optional_amount(each, "held_s").value_or(0);
     page.machines.push_back(std::move(machine));
   }
@@ -344,7 +347,7 @@
   return page;
 }
 
-Json to_json(const Rental& rental) {
+Json to_json(const ScaleOutRequest& rental) {
   return Json{{"charter", rental.id.value},
               {"build", rental.type},
               {"polder", rental.zone},
@@ -352,9 +355,10 @@
               {"count", rental.count}};
 }
 
-Rental parse_rental(const Json& value) {
-  return Rental{RentId(require_text(value, "charter")), require_text(value, "build"),
-                require_text(value, "polder"), require_flag(value, "ebbtide"), require_count(value, "count")};
+ScaleOutRequest parse_scale_out_request(const Json& value) {
+  return ScaleOutRequest{ScaleOutId(require_text(value, "charter")), require_text(value, "build"),
+                         require_text(value, "polder"), require_flag(value, "ebbtide"),
+                         require_count(value, "count")};
 }
 
 std::vector<MachineId> parse_machine_names(const Json& body) {
@@ -370,17 +374,17 @@
 }
 
 Json to_json(const Transaction& transaction) {
-  Json guards = Json::array();
-  for (const auto& guard : transaction.guards)
-    guards.push_back({{"k", guard.key}, {"stamp", guard.version.value}});
+  Json preconditions = Json::array();
+  for (const auto& precondition : transaction.preconditions)
+    preconditions.push_back({{"k", precondition.key}, {"stamp", precondition.version.value}});
   Json apply = Json::array();
   for (const auto& put : transaction.puts) {
     Json each{{"write", put.key}, {"value", put.value}};
     if (put.lease) each["tenure"] = put.lease->value;
     apply.push_back(std::move(each));
   }
-  for (const auto& key : transaction.removals) apply.push_back({{"remove", key}});
-  return Json{{"guards", std::move(guards)}, {"apply", std::move(apply)}};
+  for (const auto& key : transaction.deletions) apply.push_back({{"remove", key}});
+  return Json{{"guards", std::move(preconditions)}, {"apply", std::move(apply)}};
 }
 
 KeyValue parse_key_value(const Json& body) {
@@ -418,7 +422,7 @@
   return Revision(require_count(body, "ledger"));
 }
 
-std::vector<std::string> parse_failed_guards(const Json& body) {
+std::vector<std::string> parse_failed_preconditions(const Json& body) {
   std::vector<std::string> out;
   for (const auto& each : require_list(body, "failed"))
     if (each.is_string()) out.push_back(each.get<std::string>());
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -17,9 +17,9 @@
 
 // How the tasks of a job relate: independent tasks, tasks that must all run at the same time, or replicas
 // that run until the job is cancelled.
-enum class Shape { array, gang, service };
+enum class JobKind { array, gang, service };
 enum class Priority { low, normal, high, critical };
-enum class Stage { pending, running, done, cancelled };
+enum class JobState { pending, running, done, cancelled };
 
 struct Resources {
   double cpus = 0;
@@ -39,20 +39,20 @@
   JobId id;
   std::string job_class;
   std::string team;
-  Shape shape = Shape::array;
+  JobKind kind = JobKind::array;
   Priority priority = Priority::normal;
-  TaskIndex tasks = 1;
-  Resources each;
+  TaskIndex task_count = 1;
+  Resources task_resources;
   std::string image;
   double image_gb = 0;
   std::optional<std::vector<std::string>> machine_types;
   std::optional<std::string> zone;
-  bool one_zone = false;
+  bool same_zone = false;
   bool spread = false;
   bool spot_allowed = false;
-  double estimate_s = 0;
-  double checkpoint_s = 0;
-  double save_s = 0;
+  double estimated_run_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_duration_s = 0;
   std::optional<double> deadline_s;
 };
 
@@ -60,28 +60,28 @@
 // Throws Malformed where the protocol wants a 400.
 JobSpec parse_job(const Json& body);
 Json to_json(const JobSpec& spec);
-std::string_view spelled(Stage stage);
-std::optional<Stage> stage_from(std::string_view text);
+std::string_view spelled(JobState state);
+std::optional<JobState> job_state_from(std::string_view text);
 
 struct JobStatus {
-  Stage stage = Stage::pending;
+  JobState state = JobState::pending;
   std::uint64_t done = 0;
   std::uint64_t running = 0;
 };
 // Answer to a submission or a cancellation.
-Json job_answer(const JobId& id, Stage stage);
+Json job_response(const JobId& id, JobState state);
 // Answer to a poll.
-Json job_status_answer(const JobId& id, const JobStatus& status);
+Json job_status_response(const JobId& id, const JobStatus& status);
 
 // ---- Workers ----------------------------------------------------------------------------------------------
 
-struct TaskRef {
+struct TaskId {
   JobId job;
   TaskIndex index = 0;
-  auto operator<=>(const TaskRef&) const = default;
+  auto operator<=>(const TaskId&) const = default;
 };
-std::optional<TaskRef> parse_task(std::string_view text);
-std::string spelled(const TaskRef& task);
+std::optional<TaskId> parse_task_id(std::string_view text);
+std::string spelled(const TaskId& task);
 
 // `waiting`: a gang task that has its image and waits for the rest of its gang. `unknown`: a word, or a cause
 // of exit, that this version does not know; the task may be on the machine in any form.
@@ -90,38 +90,38 @@
 enum class ExitCause { none, done, stopped, error, no_room, busy, unknown_job, peer_lost, gang_incomplete };
 
 struct ReportedTask {
-  TaskRef task;
+  TaskId task;
   Attempt attempt = 0;
   TaskState state = TaskState::running;
   ExitCause cause = ExitCause::none;
   bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
   MachineId machine;
   std::string address;
   std::string type;
   std::string zone;
   bool spot = false;
-  std::uint64_t session = 0;
-  std::uint64_t sequence = 0;
-  Token token;
-  std::optional<double> notice_s;
+  std::uint64_t incarnation = 0;
+  std::uint64_t sequence_number = 0;
+  FencingToken token;
+  std::optional<double> termination_notice_s;
   std::vector<ReportedTask> tasks;
 };
-Report parse_report(const Json& body);
+Heartbeat parse_heartbeat(const Json& body);
 
-enum class Verb { start, stop, forget };
-struct Order {
-  Verb verb = Verb::start;
-  TaskRef task;
+enum class CommandKind { start, stop, acknowledge };
+struct Command {
+  CommandKind kind = CommandKind::start;
+  TaskId task;
   Attempt attempt = 0;
   double grace_s = 0;
 };
-Json report_answer(Token token, const std::vector<Order>& orders);
+Json heartbeat_response(FencingToken token, const std::vector<Command>& commands);
 // Orders sent straight to a worker; it carries them out only in this session and under this or a lower token.
-Json direct_orders(Token token, std::uint64_t session, const std::vector<Order>& orders);
-Json redirect_answer(const std::string& host);
+Json direct_commands(FencingToken token, std::uint64_t incarnation, const std::vector<Command>& commands);
+Json redirect_response(const std::string& host);
 
 // ---- Cloud ------------------------------------------------------------------------------------------------
 
@@ -138,13 +138,13 @@
 std::vector<MachineType> parse_machine_types(const Json& body);
 Json to_json(const std::vector<MachineType>& types);
 
-enum class MachineStage { booting, running, failed };
+enum class InstanceState { booting, running, failed };
 struct ListedMachine {
   MachineId id;
   std::string type;
   std::string zone;
   bool spot = false;
-  MachineStage stage = MachineStage::booting;
+  InstanceState state = InstanceState::booting;
   double age_s = 0;
 };
 struct MachinePage {
@@ -153,15 +153,15 @@
 };
 MachinePage parse_machine_page(const Json& body);
 
-struct Rental {
-  RentId id;
+struct ScaleOutRequest {
+  ScaleOutId id;
   std::string type;
   std::string zone;
   bool spot = false;
   std::uint64_t count = 1;
 };
-Json to_json(const Rental& rental);
-Rental parse_rental(const Json& value);
+Json to_json(const ScaleOutRequest& rental);
+ScaleOutRequest parse_scale_out_request(const Json& value);
 std::vector<MachineId> parse_machine_names(const Json& body);
 Json machine_names(const std::vector<MachineId>& names);
 
@@ -169,8 +169,8 @@
 inline constexpr std::string_view kJobs = "/work";
 inline constexpr std::string_view kCancel = "/withdraw";
 inline constexpr std::string_view kHealth = "/healthz";
-inline constexpr std::string_view kReport = "/v1/report";
-inline constexpr std::string_view kDirectOrders = "/commands";  // of a worker
+inline constexpr std::string_view kHeartbeat = "/v1/report";
+inline constexpr std::string_view kDirectCommands = "/commands";  // of a worker
 inline constexpr std::string_view kMachineTypes = "/flavors";
 inline constexpr std::string_view kMachines = "/machines";
 inline constexpr std::string_view kDelete = "/machines/delete";
@@ -184,7 +184,7 @@
   Json value;
   Revision version;
 };
-struct Guard {
+struct Precondition {
   std::string key;
   Revision version;  // 0: the key must not exist
 };
@@ -194,9 +194,9 @@
   std::optional<LeaseId> lease;
 };
 struct Transaction {
-  std::vector<Guard> guards;
+  std::vector<Precondition> preconditions;
   std::vector<Put> puts;
-  std::vector<std::string> removals;
+  std::vector<std::string> deletions;
 };
 struct KeyPage {
   std::vector<KeyValue> items;
@@ -218,7 +218,7 @@
 KeyPage parse_key_page(const Json& body);
 KeyEvents parse_key_events(const Json& body);
 Revision parse_revision(const Json& body);
-std::vector<std::string> parse_failed_guards(const Json& body);
+std::vector<std::string> parse_failed_preconditions(const Json& body);
 Json lease_request(std::uint64_t ttl_ms);
 LeaseId parse_lease(const Json& body);
 
