--- a/src/app/report_counter.hpp
+++ b/src/app/heartbeat_counter.hpp
@@ -10,7 +10,7 @@
 
 namespace dockdyke::app {
 
-class ReportCounter {
+class HeartbeatCounter {
  public:
   void note(net::TimePoint now) {
     Slot& slot = slots_[place(now)];
@@ -38,7 +38,7 @@
     return static_cast<std::size_t>(second(now)) % slots_.size();
   }
 
-  std::array<Slot, limits::kHeardSeconds> slots_{};
+  std::array<Slot, constants::kHeartbeatCountWindow> slots_{};
 };
 
 }  // namespace dockdyke::app
--- a/src/app/frontend.hpp
+++ b/src/app/job_request_handler.hpp
@@ -13,7 +13,7 @@
 #include "app/latency_histogram.hpp"
 #include "app/poll_batcher.hpp"
 #include "core/cluster.hpp"
-#include "core/records.hpp"
+#include "core/stored_records.hpp"
 #include "net/http_server.hpp"
 #include "net/loop.hpp"
 #include "peer/peer.hpp"
@@ -21,10 +21,10 @@
 
 namespace dockdyke::app {
 
-net::HttpResponse answer(int status, const wire::Json& body);
-net::HttpResponse come_back();
+net::HttpResponse json_response(int status, const wire::Json& body);
+net::HttpResponse service_unavailable();
 
-class Frontend {
+class JobRequestHandler {
  public:
   struct Listener {
     std::function<void(const core::JobRecord&, Revision)> on_submitted;
@@ -32,10 +32,12 @@
     // What the leader's own books say of an open job; nothing on any other controller.
     std::function<std::optional<core::JobProgress>(const JobId&)> progress;
     // The leader's word on these jobs; nothing when there is none to be had, or this controller leads.
-    std::function<net::Task<std::optional<std::vector<peer::PolledJob>>>(std::vector<JobId>)> ask_leader;
+    std::function<net::Task<std::optional<std::vector<peer::PolledJobStatus>>>(std::vector<JobId>)>
+        poll_leader;
   };
 
-  Frontend(net::Loop& loop, store::StateClient& state, const core::ClusterConfig& config, Listener listener);
+  JobRequestHandler(net::Loop& loop, store::StateClient& state, const core::ClusterConfig& config,
+                    Listener listener);
 
   void set_types(std::vector<wire::MachineType> types) { types_ = std::move(types); }
   bool types_known() const { return !types_.empty(); }
@@ -45,12 +47,12 @@
   net::Task<net::HttpResponse> submit(std::string body);
   net::Task<net::HttpResponse> poll(JobId id);
   // The present state of each job, for another controller.
-  net::Task<std::vector<peer::PolledJob>> poll_for_peer(std::vector<JobId> ids);
+  net::Task<std::vector<peer::PolledJobStatus>> poll_for_peer(std::vector<JobId> ids);
   // The job's end is on record.
-  void remember(const JobId& id, const wire::JobStatus& status);
+  void cache_terminal_status(const JobId& id, const wire::JobStatus& status);
   net::Task<net::HttpResponse> cancel(JobId id);
   // How long submissions took that this controller carried out itself.
-  const Latency& submission_times() const { return submission_times_; }
+  const LatencyHistogram& submission_times() const { return submission_times_; }
 
  private:
   struct Found {
@@ -65,10 +67,10 @@
   // Names of types that nobody offers need no room in the record.
   void drop_unknown_types(wire::JobSpec& spec) const;
   // The present state of each job, read from the store for this question.
-  net::Task<std::vector<peer::PolledJob>> look_up(std::vector<JobId> ids);
+  net::Task<std::vector<peer::PolledJobStatus>> read_job_statuses(std::vector<JobId> ids);
   // Looks up one job and counts down the rest.
-  net::Task<void> look_up_one(JobId id, net::TimePoint deadline, peer::PolledJob* out, std::size_t* left,
-                              net::OneShot<bool> all_done);
+  net::Task<void> read_job_status(JobId id, net::TimePoint deadline, peer::PolledJobStatus* out,
+                                  std::size_t* left, net::OneShot<bool> all_done);
 
   net::Loop& loop_;
   store::StateClient& state_;
@@ -76,9 +78,9 @@
   Listener listener_;
   std::vector<wire::MachineType> types_;
   std::size_t submitting_ = 0;
-  Latency submission_times_;
-  std::unordered_map<JobId, wire::JobStatus> finals_;
-  std::deque<JobId> finals_order_;
+  LatencyHistogram submission_times_;
+  std::unordered_map<JobId, wire::JobStatus> terminal_jobs_;
+  std::deque<JobId> terminal_jobs_order_;
   PollBatcher polls_;
 };
 
--- a/src/app/latency_histogram.hpp
+++ b/src/app/latency_histogram.hpp
@@ -8,7 +8,7 @@
 
 namespace dockdyke::app {
 
-class Latency {
+class LatencyHistogram {
  public:
   void add(double seconds) { counts_(seconds); }
   std::size_t count() const { return static_cast<std::size_t>(boost::histogram::algorithm::sum(counts_)); }
@@ -27,7 +27,7 @@
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   boost::histogram::histogram<std::tuple<Axis>> counts_{
-      std::make_tuple(Axis(limits::kLatencyBins, limits::kLatencyLeast, limits::kLatencyMost))};
+      std::make_tuple(Axis(constants::kLatencyBins, constants::kLatencyMin, constants::kLatencyMax))};
 };
 
 }  // namespace dockdyke::app
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -24,14 +24,14 @@
     net::Loop& loop;
     store::StateClient& state;
     cloud::CloudClient& cloud;
-    net::Transport& transport;      // to workers
-    std::size_t most_held_answers;  // as far as connections allow
+    net::Transport& transport;       // to workers
+    std::size_t max_held_responses;  // as far as connections allow
   };
 
   struct Listener {
-    std::function<void()> on_overtaken;
+    std::function<void()> on_superseded;
     // The job's end is on record.
-    std::function<void(const JobId&, const wire::JobStatus&)> on_final;
+    std::function<void(const JobId&, const wire::JobStatus&)> on_completed;
   };
 
   LeaderTerm(Services services, const core::ClusterConfig& config, store::Leadership leadership,
@@ -44,16 +44,16 @@
   FencingToken token() const { return cluster_.token(); }
   void renewed(net::TimePoint asked_at) { renewed_at_ = std::max(renewed_at_, asked_at); }
   // For how long no worker has been heard, and from when on that is odd for the fleet there is.
-  struct WorkerSilence {
-    double lasted_s = 0;
-    double odd_s = 0;
+  struct HeartbeatSilence {
+    double duration_s = 0;
+    double threshold_s = 0;
     std::size_t machines = 0;
-    bool heard_before = false;
-    bool odd() const { return machines > 0 && lasted_s >= odd_s; }
+    bool any_heartbeat_received = false;
+    bool anomalous() const { return machines > 0 && duration_s >= threshold_s; }
   };
-  WorkerSilence silence() const;
+  HeartbeatSilence heartbeat_silence() const;
   // Neither the store nor any other controller answers.
-  void set_alone(bool alone);
+  void set_isolated(bool alone);
   void push(core::Event event);
   net::Task<net::HttpResponse> heartbeat(wire::Heartbeat heartbeat);
   std::optional<core::JobProgress> progress(const JobId& id) const { return cluster_.progress(id); }
@@ -66,20 +66,20 @@
   };
 
   // Every loop takes a share of the term, so that the state outlives its last call.
-  static net::Task<void> own(Self self);
+  static net::Task<void> run(Self self);
   static net::Task<void> load(Self self);
   static net::Task<void> watch(Self self);
   // Tells the owner of a submission on record.
-  void take_record(const std::string& key, const wire::Json& value, Revision version);
-  static net::Task<void> read_machines(Self self);
-  static net::Task<void> keep_time(Self self);
+  void submit_record(const std::string& key, const wire::Json& value, Revision version);
+  static net::Task<void> refresh_machine_list(Self self);
+  static net::Task<void> run_timers(Self self);
   static net::Task<void> save(Self self, core::StateWrite save);
   // Asks the store whether the job is still open.
-  static net::Task<void> look_up(Self self, JobId id);
-  static net::Task<void> carry_out(Self self, core::RequestScaleOut effect);
-  static net::Task<void> carry_out(Self self, core::RequestScaleIn effect);
-  static net::Task<void> carry_out(Self self, core::DeleteKeys effect);
-  static net::Task<void> carry_out(Self self, core::SendStopCommands effect);
+  static net::Task<void> confirm_removal(Self self, JobId id);
+  static net::Task<void> execute(Self self, core::RequestScaleOut effect);
+  static net::Task<void> execute(Self self, core::RequestScaleIn effect);
+  static net::Task<void> execute(Self self, core::DeleteKeys effect);
+  static net::Task<void> execute(Self self, core::SendStopCommands effect);
 
   // All that a new leader reads, and the revision from which changes are to be watched.
   struct Records {
@@ -93,23 +93,23 @@
   net::Task<bool> load_jobs(std::string prefix, bool terminating, Records& records);
   net::Task<bool> load_pages(Records& records);
   // Waits until the machine's answer can go out with all that is on its way, or there is no more time.
-  net::Task<void> hold_answer(MachineId machine);
-  void release_held();
+  net::Task<void> hold_response(MachineId machine);
+  void release_held_responses();
   // Writes under the leader's guard until it is done; false when the term has ended.
-  net::Task<bool> write_guarded(wire::Transaction transaction, store::Urgency urgency);
-  net::Task<bool> record(std::string key, wire::Json value, store::Urgency urgency);
-  void start_saves();
-  void discard(std::vector<std::string> keys);
-  static net::Task<void> remove_discarded(Self self);
-  void note_final(const JobId& id);
-  void overtaken();
+  net::Task<bool> write_guarded(wire::Transaction transaction, store::RequestPriority urgency);
+  net::Task<bool> record(std::string key, wire::Json value, store::RequestPriority urgency);
+  void start_writes();
+  void delete_later(std::vector<std::string> keys);
+  static net::Task<void> delete_obsolete_keys(Self self);
+  void report_completion(const JobId& id);
+  void superseded();
   wire::Precondition leader_precondition() const;
   core::Time now() const;
   // Seconds since the last moment of which everything is known to us.
   double staleness() const;
   // How stale the view may get before workers are no longer answered.
-  double patience_s() const;
-  double watch_hold_s() const;
+  double max_staleness_s() const;
+  double watch_timeout_s() const;
   // For how long the answer to a machine without tasks waits for work.
   double idle_hold_s() const;
 
@@ -121,15 +121,15 @@
   net::WakeUp work_;
   std::vector<core::Event> events_;
   std::vector<WaitingReport> heartbeats_;
-  std::map<MachineId, net::OneShot<bool>> held_;  // answers that wait
-  std::size_t saving_ = 0;
-  std::deque<std::string> discarded_;  // keys to be removed when there is budget
-  bool discarding_ = false;
+  std::map<MachineId, net::OneShot<bool>> held_responses_;  // answers that wait
+  std::size_t writes_in_flight_ = 0;
+  std::deque<std::string> obsolete_keys_;  // keys to be removed when there is budget
+  bool deleting_ = false;
   Revision watch_from_;
   net::TimePoint renewed_at_;
   net::TimePoint watched_at_;
-  std::optional<net::TimePoint> alone_since_;
-  std::optional<net::TimePoint> heard_at_;  // the last worker's report
+  std::optional<net::TimePoint> isolated_since_;
+  std::optional<net::TimePoint> last_heartbeat_at_;  // the last worker's report
   net::TimePoint elected_at_;
 };
 
--- a/src/app/leader_term_loader.cpp
+++ b/src/app/leader_term_loader.cpp
@@ -12,7 +12,7 @@
 namespace dockdyke::app {
 
 using store::Outcome;
-using store::Urgency;
+using store::RequestPriority;
 
 // ---- Loading and watching ---------------------------------------------------------------------------------
 
@@ -82,7 +82,7 @@
   while (self->alive_ && !done) {
     records = {};
     done = co_await self->load_records(records);
-    if (!done) co_await self->services_.loop.sleep(net::seconds(limits::kBackgroundRetry));
+    if (!done) co_await self->services_.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
   }
   if (!self->alive_) co_return;
   for (auto& event : records.events) self->push(std::move(event));
@@ -93,7 +93,7 @@
   net::spawn(watch(self));
 }
 
-void LeaderTerm::take_record(const std::string& key, const wire::Json& value, Revision version) {
+void LeaderTerm::submit_record(const std::string& key, const wire::Json& value, Revision version) {
   try {
     push(core::JobSubmitted{core::parse_job_record(value), version});
   } catch (const wire::Malformed& error) {
@@ -106,7 +106,7 @@
   while (self->alive_) {
     const auto asked_at = self->services_.loop.now();
     store::Result<wire::KeyEvents> events =
-        co_await state.watch(core::key::kActivePrefix, self->watch_from_, self->watch_hold_s());
+        co_await state.watch(core::key::kActivePrefix, self->watch_from_, self->watch_timeout_s());
     if (!self->alive_) co_return;
     if (events.outcome == Outcome::expired) {
       // Too much has happened since: compare with the present keys.
@@ -115,15 +115,15 @@
       std::set<std::string> present;
       for (const auto& item : page.value.items) {
         present.insert(item.key);
-        self->take_record(item.key, item.value, item.version);
+        self->submit_record(item.key, item.value, item.version);
       }
       for (const auto& id : self->cluster_.open_jobs())
-        if (!present.contains(core::key::active_job(id))) net::spawn(look_up(self, id));
+        if (!present.contains(core::key::active_job(id))) net::spawn(confirm_removal(self, id));
       self->watch_from_ = page.value.revision;
       continue;
     }
     if (!events) {
-      co_await self->services_.loop.sleep(net::seconds(limits::kBackgroundRetry));
+      co_await self->services_.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
       continue;
     }
     for (const auto& event : events.value.events) {
@@ -132,7 +132,7 @@
         self->push(core::JobRecordRemoved{id});
       } else if (!self->cluster_.job(id)) {
         // Our own saves come back here too; only records of jobs that are new to us are read.
-        self->take_record(event.key, *event.value, event.version);
+        self->submit_record(event.key, *event.value, event.version);
       }
     }
     self->watch_from_ = std::max(self->watch_from_, events.value.revision);
@@ -141,12 +141,12 @@
   }
 }
 
-net::Task<void> LeaderTerm::read_machines(Self self) {
+net::Task<void> LeaderTerm::refresh_machine_list(Self self) {
   while (self->alive_) {
     cloud::Result<std::vector<wire::ListedMachine>> list = co_await self->services_.cloud.machines();
     if (!self->alive_) co_return;
     if (list) self->push(core::MachinesListed{std::move(list.value)});
-    co_await self->services_.loop.sleep(net::seconds(limits::kListEvery));
+    co_await self->services_.loop.sleep(net::seconds(constants::kMachineListInterval));
   }
 }
 
--- a/src/app/leader_term_writer.cpp
+++ b/src/app/leader_term_writer.cpp
@@ -12,36 +12,36 @@
 namespace dockdyke::app {
 
 using store::Outcome;
-using store::Urgency;
+using store::RequestPriority;
 
 // ---- Writing ----------------------------------------------------------------------------------------------
 
-void LeaderTerm::start_saves() {
-  while (saving_ < limits::kSavesInFlight) {
+void LeaderTerm::start_writes() {
+  while (writes_in_flight_ < constants::kMaxWritesInFlight) {
     auto next = cluster_.next_write(now());
     if (!next) return;
-    ++saving_;
+    ++writes_in_flight_;
     net::spawn(save(shared_from_this(), *std::move(next)));
   }
 }
 
 net::Task<void> LeaderTerm::save(Self self, core::StateWrite save) {
   save.transaction.preconditions.push_back(self->leader_precondition());
-  const Urgency urgency = save.urgent ? Urgency::high : Urgency::normal;
+  const RequestPriority urgency = save.urgent ? RequestPriority::high : RequestPriority::normal;
   while (self->alive_) {
-    const auto deadline = self->services_.loop.now() + net::seconds(limits::kBackgroundPatience);
+    const auto deadline = self->services_.loop.now() + net::seconds(constants::kBackgroundCallTimeout);
     store::Result<store::Committed> committed =
         co_await self->services_.state.commit(save.transaction, urgency, deadline);
     if (!self->alive_) break;
     if (committed) {
-      for (const auto& id : save.finals) self->note_final(id);
+      for (const auto& id : save.finals) self->report_completion(id);
       self->push(core::WriteApplied{save.number});
       break;
     }
     auto& failed = committed.value.failed_preconditions;
     if (committed.outcome == Outcome::conflict) {
       if (std::find(failed.begin(), failed.end(), store::kLeaderKey) != failed.end()) {
-        self->overtaken();
+        self->superseded();
       } else {
         self->push(core::WriteConflicted{save.number, std::move(failed)});
       }
@@ -50,18 +50,18 @@
     if (committed.outcome == Outcome::rejected) {
       spdlog::error("event=save_rejected number={}", save.number);
       self->push(core::WriteRejected{save.number});
-      co_await self->services_.loop.sleep(net::seconds(limits::kBackgroundRetry));
+      co_await self->services_.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
       break;
     }
     // Refused, or perhaps applied: the same transaction again, which its guards keep from being applied
     // twice.
-    co_await self->services_.loop.sleep(net::seconds(limits::kBackgroundRetry));
+    co_await self->services_.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
   }
-  --self->saving_;
+  --self->writes_in_flight_;
   self->work_.ring();
 }
 
-void LeaderTerm::note_final(const JobId& id) {
+void LeaderTerm::report_completion(const JobId& id) {
   const core::Job* job = cluster_.job(id);
   if (!job) return;
   spdlog::debug("event=job_done id={} class={} tasks={} estimate={:.0f} submitted={:.1f} took={:.1f}",
@@ -71,44 +71,44 @@
     spdlog::debug("event=gang_done id={} attempts={} machines={} placed_after={:.2f} complete_after={:.2f}",
                   id.value, job->gang.attempt, job->gang.machine_count,
                   job->gang.assigned_at - job->submitted, job->gang.started_at - job->submitted);
-  listener_.on_final(id, {wire::JobState::done, job->done_count, 0});
+  listener_.on_completed(id, {wire::JobState::done, job->done_count, 0});
 }
 
-net::Task<void> LeaderTerm::look_up(Self self, JobId id) {
+net::Task<void> LeaderTerm::confirm_removal(Self self, JobId id) {
   auto& services = self->services_;
   while (self->alive_) {
     store::Result<wire::KeyValue> open = co_await services.state.get(
-        core::key::active_job(id), services.loop.now() + net::seconds(limits::kBackgroundPatience));
+        core::key::active_job(id), services.loop.now() + net::seconds(constants::kBackgroundCallTimeout));
     if (open) co_return;
     if (open.outcome == Outcome::missing) {
       self->push(core::JobRecordRemoved{id});
       co_return;
     }
-    co_await services.loop.sleep(net::seconds(limits::kBackgroundRetry));
+    co_await services.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
   }
 }
 
-net::Task<bool> LeaderTerm::write_guarded(wire::Transaction transaction, Urgency urgency) {
+net::Task<bool> LeaderTerm::write_guarded(wire::Transaction transaction, RequestPriority urgency) {
   transaction.preconditions.push_back(leader_precondition());
   while (alive_) {
     store::Result<store::Committed> committed = co_await services_.state.commit(
-        transaction, urgency, services_.loop.now() + net::seconds(limits::kBackgroundPatience));
+        transaction, urgency, services_.loop.now() + net::seconds(constants::kBackgroundCallTimeout));
     if (committed) co_return alive_;
     const auto& failed = committed.value.failed_preconditions;
     if (committed.outcome == Outcome::conflict) {
       if (std::find(failed.begin(), failed.end(), store::kLeaderKey) != failed.end()) {
-        overtaken();
+        superseded();
         co_return false;
       }
       // The other guard says that the record exists: an earlier, unanswered call of this loop wrote it.
       co_return alive_;
     }
-    co_await services_.loop.sleep(net::seconds(limits::kBackgroundRetry));
+    co_await services_.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
   }
   co_return false;
 }
 
-net::Task<bool> LeaderTerm::record(std::string key, wire::Json value, Urgency urgency) {
+net::Task<bool> LeaderTerm::record(std::string key, wire::Json value, RequestPriority urgency) {
   wire::Transaction txn;
   txn.preconditions.push_back({key, Revision(0)});
   txn.puts.push_back({std::move(key), std::move(value), {}});
@@ -116,11 +116,11 @@
   co_return written;
 }
 
-net::Task<void> LeaderTerm::carry_out(Self self, core::RequestScaleOut effect) {
+net::Task<void> LeaderTerm::execute(Self self, core::RequestScaleOut effect) {
   const std::string key = core::key::kScaleOutPrefix + effect.rental.id.value;
   if (!effect.recorded) {
     // Ahead of what else waits: a day's first rentals stood in line behind its first submissions for 5 s.
-    const bool written = co_await self->record(key, wire::to_json(effect.rental), Urgency::high);
+    const bool written = co_await self->record(key, wire::to_json(effect.rental), RequestPriority::high);
     if (!written) co_return;
   }
   bool answered = false;
@@ -136,17 +136,17 @@
       self->push(core::ScaleOutRefused{effect.rental.id});
     } else {
       // Under the same name, which rents nothing twice, until the cloud says what came of it.
-      co_await self->services_.loop.sleep(net::seconds(limits::kCloudRetry));
+      co_await self->services_.loop.sleep(net::seconds(constants::kCloudRetryInterval));
     }
   }
   if (!answered) co_return;
-  self->discard({key});
+  self->delete_later({key});
 }
 
-net::Task<void> LeaderTerm::carry_out(Self self, core::RequestScaleIn effect) {
+net::Task<void> LeaderTerm::execute(Self self, core::RequestScaleIn effect) {
   if (!effect.recorded) {
     const bool written =
-        co_await self->record(effect.record, wire::machine_names(effect.machines), Urgency::normal);
+        co_await self->record(effect.record, wire::machine_names(effect.machines), RequestPriority::normal);
     if (!written) co_return;
   }
   bool answered = false;
@@ -156,19 +156,19 @@
                  effect.machines.size(), effect.machines.empty() ? "" : effect.machines.front().value,
                  static_cast<int>(outcome));
     answered = outcome == cloud::Outcome::ok;
-    if (!answered) co_await self->services_.loop.sleep(net::seconds(limits::kCloudRetry));
+    if (!answered) co_await self->services_.loop.sleep(net::seconds(constants::kCloudRetryInterval));
   }
   if (!answered) co_return;
   self->push(core::MachinesDeleted{effect.record, effect.machines});
-  self->discard({effect.record});
+  self->delete_later({effect.record});
 }
 
-net::Task<void> LeaderTerm::carry_out(Self self, core::DeleteKeys effect) {
-  self->discard(std::move(effect.keys));
+net::Task<void> LeaderTerm::execute(Self self, core::DeleteKeys effect) {
+  self->delete_later(std::move(effect.keys));
   co_return;
 }
 
-net::Task<void> LeaderTerm::carry_out(Self self, core::SendStopCommands effect) {
+net::Task<void> LeaderTerm::execute(Self self, core::SendStopCommands effect) {
   const auto address = net::Address::parse(effect.address);
   if (!address) co_return;
   auto& services = self->services_;
@@ -179,33 +179,33 @@
   while (self->alive_ && services.loop.now() < deadline) {
     net::CallResult result =
         co_await services.transport.call(*address, "POST", std::string(wire::path::kDirectCommands), body,
-                                         net::seconds(limits::kDirectOrderTimeout));
+                                         net::seconds(constants::kDirectCommandTimeout));
     spdlog::info("event=direct_stop machine={} status={}", effect.machine.value,
                  result.response ? result.response->status : 0);
     if (result.response) co_return;
-    co_await services.loop.sleep(net::seconds(limits::kDirectOrderRetry));
+    co_await services.loop.sleep(net::seconds(constants::kDirectCommandRetryInterval));
   }
 }
 
-void LeaderTerm::discard(std::vector<std::string> keys) {
-  std::move(keys.begin(), keys.end(), std::back_inserter(discarded_));
-  if (!discarding_) net::spawn(remove_discarded(shared_from_this()));
+void LeaderTerm::delete_later(std::vector<std::string> keys) {
+  std::move(keys.begin(), keys.end(), std::back_inserter(obsolete_keys_));
+  if (!deleting_) net::spawn(delete_obsolete_keys(shared_from_this()));
 }
 
-net::Task<void> LeaderTerm::remove_discarded(Self self) {
+net::Task<void> LeaderTerm::delete_obsolete_keys(Self self) {
   // One transaction at a time: each in line on its own, they once filled the line and had submissions
   // refused.
-  self->discarding_ = true;
-  while (self->alive_ && !self->discarded_.empty()) {
-    const auto count = std::min(self->discarded_.size(), self->config_.max_transaction_changes);
-    const auto end = self->discarded_.begin() + static_cast<std::ptrdiff_t>(count);
+  self->deleting_ = true;
+  while (self->alive_ && !self->obsolete_keys_.empty()) {
+    const auto count = std::min(self->obsolete_keys_.size(), self->config_.max_transaction_changes);
+    const auto end = self->obsolete_keys_.begin() + static_cast<std::ptrdiff_t>(count);
     wire::Transaction txn;
-    txn.deletions.assign(self->discarded_.begin(), end);
-    self->discarded_.erase(self->discarded_.begin(), end);
-    const bool written = co_await self->write_guarded(std::move(txn), Urgency::background);
+    txn.deletions.assign(self->obsolete_keys_.begin(), end);
+    self->obsolete_keys_.erase(self->obsolete_keys_.begin(), end);
+    const bool written = co_await self->write_guarded(std::move(txn), RequestPriority::background);
     if (!written) break;
   }
-  self->discarding_ = false;
+  self->deleting_ = false;
 }
 
 }  // namespace dockdyke::app
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -4,8 +4,8 @@
 #include <exception>
 #include <iostream>
 
+#include "app/controller.hpp"
 #include "app/logging.hpp"
-#include "app/node.hpp"
 #include "app/settings.hpp"
 #include "constants.hpp"
 #include "net/http_client.hpp"
@@ -24,9 +24,9 @@
       "LOG_LEVEL sets the detail of the log on standard error: error (default), info or debug.");
   program.set_version_flag("--version", "dockdyke " DOCKDYKE_VERSION);
   std::string config;
-  std::uint32_t min_machines = limits::kMinMachines;
-  std::uint32_t free_machines = limits::kFreeMachines;
-  std::uint32_t max_machines = limits::kMaxMachines;
+  std::uint32_t min_machines = constants::kDefaultMinMachines;
+  std::uint32_t free_machines = constants::kDefaultFreeMachines;
+  std::uint32_t max_machines = constants::kDefaultMaxMachines;
   program.add_option("--config", config, "The platform's settings file (JSON)")->required();
   program.add_option("--min-machines", min_machines, "Machines kept at the least")
       ->envname("DOCKDYKE_MIN_MACHINES")
@@ -49,8 +49,8 @@
     settings.cluster.max_machines = max_machines;
     net::Loop loop;
     net::HttpClient client(loop);
-    app::Node node(loop, client, std::move(settings));
-    node.start();
+    app::Controller controller(loop, client, std::move(settings));
+    controller.start();
     loop.run();
   } catch (const app::SettingsError& error) {
     std::cerr << "dockdyke: " << error.what() << '\n';
--- a/src/app/poll_batcher.cpp
+++ b/src/app/poll_batcher.cpp
@@ -7,7 +7,7 @@
 
 namespace dockdyke::app {
 
-using peer::PolledJob;
+using peer::PolledJobStatus;
 
 namespace {
 
@@ -18,29 +18,29 @@
 PollBatcher::PollBatcher(net::Loop& loop, Sources sources) : loop_(loop), sources_(std::move(sources)) {}
 
 std::optional<PollBatcher::Answer> PollBatcher::enqueue(const JobId& id) {
-  if (questions_.size() >= limits::kPollsWaiting) return std::nullopt;
+  if (questions_.size() >= constants::kPollQueueLimit) return std::nullopt;
   const Answer answer(loop_);
   questions_.push_back({id, answer});
   if (!answering_) net::spawn(answer_batches());
   return answer;
 }
 
-net::Task<PolledJob> PollBatcher::ask(JobId id, net::Duration patience) {
+net::Task<PolledJobStatus> PollBatcher::ask(JobId id, net::Duration patience) {
   const auto answer = enqueue(id);
   if (!answer) co_return unknown();
-  const std::optional<PolledJob> polled = co_await answer->wait_until(loop_.now() + patience);
+  const std::optional<PolledJobStatus> polled = co_await answer->wait_until(loop_.now() + patience);
   co_return polled.value_or(unknown());
 }
 
-net::Task<std::vector<PolledJob>> PollBatcher::ask_all(std::vector<JobId> ids, net::Duration patience) {
+net::Task<std::vector<PolledJobStatus>> PollBatcher::ask_all(std::vector<JobId> ids, net::Duration patience) {
   const auto deadline = loop_.now() + patience;
   std::vector<std::optional<Answer>> answers;
   answers.reserve(ids.size());
   for (const auto& id : ids) answers.push_back(enqueue(id));
-  std::vector<PolledJob> out(ids.size(), unknown());
+  std::vector<PolledJobStatus> out(ids.size(), unknown());
   for (std::size_t i = 0; i < ids.size(); ++i) {
     if (!answers[i]) continue;
-    const std::optional<PolledJob> polled = co_await answers[i]->wait_until(deadline);
+    const std::optional<PolledJobStatus> polled = co_await answers[i]->wait_until(deadline);
     out[i] = polled.value_or(unknown());
   }
   co_return out;
@@ -53,18 +53,19 @@
     std::set<JobId> distinct;
     for (const auto& question : batch) distinct.insert(question.id);
     const std::vector<JobId> ids(distinct.begin(), distinct.end());
-    const std::vector<PolledJob> polled = co_await answer_batch(ids);
-    std::map<JobId, PolledJob> found;
+    const std::vector<PolledJobStatus> polled = co_await answer_batch(ids);
+    std::map<JobId, PolledJobStatus> found;
     for (std::size_t i = 0; i < ids.size(); ++i) found.emplace(ids[i], polled[i]);
     for (const auto& question : batch) question.answer.set(found.at(question.id));
-    co_await loop_.sleep(net::seconds(limits::kPollGather));
+    co_await loop_.sleep(net::seconds(constants::kPollBatchInterval));
   }
   answering_ = false;
 }
 
-net::Task<std::vector<PolledJob>> PollBatcher::answer_batch(std::vector<JobId> ids) {
-  std::optional<std::vector<PolledJob>> led = co_await sources_.ask_leader(ids);
-  std::vector<PolledJob> out = led ? *std::move(led) : std::vector<PolledJob>(ids.size(), unknown());
+net::Task<std::vector<PolledJobStatus>> PollBatcher::answer_batch(std::vector<JobId> ids) {
+  std::optional<std::vector<PolledJobStatus>> led = co_await sources_.poll_leader(ids);
+  std::vector<PolledJobStatus> out =
+      led ? *std::move(led) : std::vector<PolledJobStatus>(ids.size(), unknown());
   // Jobs the leader can't tell of are looked up here: the store may refuse the leader alone.
   std::vector<std::size_t> unclear;
   std::vector<JobId> unclear_ids;
@@ -74,7 +75,7 @@
     unclear_ids.push_back(ids[i]);
   }
   if (unclear.empty()) co_return out;
-  const std::vector<PolledJob> looked_up = co_await sources_.look_up(std::move(unclear_ids));
+  const std::vector<PolledJobStatus> looked_up = co_await sources_.read_job_statuses(std::move(unclear_ids));
   for (std::size_t i = 0; i < unclear.size(); ++i) out[unclear[i]] = looked_up[i];
   co_return out;
 }
--- a/src/app/poll_batcher.hpp
+++ b/src/app/poll_batcher.hpp
@@ -22,20 +22,21 @@
  public:
   struct Sources {
     // The leader's word on these jobs; nothing when there is none to be had, or this controller leads.
-    std::function<net::Task<std::optional<std::vector<peer::PolledJob>>>(std::vector<JobId>)> ask_leader;
+    std::function<net::Task<std::optional<std::vector<peer::PolledJobStatus>>>(std::vector<JobId>)>
+        poll_leader;
     // The state service's word.
-    std::function<net::Task<std::vector<peer::PolledJob>>(std::vector<JobId>)> look_up;
+    std::function<net::Task<std::vector<peer::PolledJobStatus>>(std::vector<JobId>)> read_job_statuses;
   };
 
   PollBatcher(net::Loop& loop, Sources sources);
 
   // The job's state as of a reading made after this call; status 503 where that can't be told in time.
-  net::Task<peer::PolledJob> ask(JobId id, net::Duration patience);
+  net::Task<peer::PolledJobStatus> ask(JobId id, net::Duration patience);
   // The same for several jobs, in their order.
-  net::Task<std::vector<peer::PolledJob>> ask_all(std::vector<JobId> ids, net::Duration patience);
+  net::Task<std::vector<peer::PolledJobStatus>> ask_all(std::vector<JobId> ids, net::Duration patience);
 
  private:
-  using Answer = net::OneShot<peer::PolledJob>;
+  using Answer = net::OneShot<peer::PolledJobStatus>;
   struct Question {
     JobId id;
     Answer answer;
@@ -43,10 +44,10 @@
 
   // Nothing where the line is full.
   std::optional<Answer> enqueue(const JobId& id);
-  static peer::PolledJob unknown() { return {503, {}}; }
+  static peer::PolledJobStatus unknown() { return {503, {}}; }
   // Answers batch after batch until no question is left.
   net::Task<void> answer_batches();
-  net::Task<std::vector<peer::PolledJob>> answer_batch(std::vector<JobId> ids);
+  net::Task<std::vector<peer::PolledJobStatus>> answer_batch(std::vector<JobId> ids);
 
   net::Loop& loop_;
   Sources sources_;
--- a/src/app/settings.cpp
+++ b/src/app/settings.cpp
@@ -101,8 +101,8 @@
 };
 
 StoreLimits store_limits(const Section& state) {
-  return {static_cast<std::size_t>(state.at_least("value_kb", limits::kLeastValueKb) * 1024),
-          static_cast<std::size_t>(state.at_least("txn_ops", limits::kLeastTxnOps))};
+  return {static_cast<std::size_t>(state.at_least("value_kb", constants::kMinValueKib) * 1024),
+          static_cast<std::size_t>(state.at_least("txn_ops", constants::kMinTransactionChanges))};
 }
 
 }  // namespace
@@ -119,7 +119,7 @@
   out.cloud = services.address("cloud");
   out.state = services.address("state");
   for (const auto& each : root.sections("siblings", true))
-    out.siblings.push_back({each.text("host_name"), each.address("addr")});
+    out.peers.push_back({each.text("host_name"), each.address("addr")});
 
   const auto settings = root.section("settings");
   for (const auto& each : settings.sections("teams", true)) {
@@ -169,19 +169,19 @@
   out.cluster.machine_list_lag_s = cloud.amount_or_none("list_lag_s");
   const auto resources = settings.section("resources");
   out.connections = static_cast<std::size_t>(resources.positive("fd_limit"));
-  out.cluster.min_machines = limits::kMinMachines;
-  out.cluster.free_machines = limits::kFreeMachines;
-  out.cluster.max_machines = limits::kMaxMachines;
+  out.cluster.min_machines = constants::kDefaultMinMachines;
+  out.cluster.free_machines = constants::kDefaultFreeMachines;
+  out.cluster.max_machines = constants::kDefaultMaxMachines;
   return out;
 }
 
 Settings load_settings(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   if (!in) throw SettingsError("settings: can't read " + file);
-  std::string text(limits::kMaxSettings + 1, '\0');
+  std::string text(constants::kMaxSettingsBytes + 1, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(in.gcount()));
-  if (text.size() > limits::kMaxSettings) throw SettingsError("settings: the file is too large");
+  if (text.size() > constants::kMaxSettingsBytes) throw SettingsError("settings: the file is too large");
   return parse_settings(text);
 }
 
--- a/src/app/settings.hpp
+++ b/src/app/settings.hpp
@@ -16,7 +16,7 @@
   using std::runtime_error::runtime_error;
 };
 
-struct Sibling {
+struct PeerController {
   std::string host;
   net::Address address;
 };
@@ -27,7 +27,7 @@
   net::Address internal_address;
   net::Address cloud;
   net::Address state;
-  std::vector<Sibling> siblings;
+  std::vector<PeerController> peers;
   double state_rps = 0;
   double state_write_rps = 0;
   double state_write_rps_later =
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -6,7 +6,7 @@
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "store/rate_budget.hpp"
+#include "store/rate_limiter.hpp"
 #include "wire/messages.hpp"
 
 namespace dockdyke::cloud {
@@ -40,12 +40,13 @@
     int status = 0;
     wire::Json body;
   };
-  net::Task<Reply> call(std::string method, std::string target, std::string body, store::Urgency urgency);
+  net::Task<Reply> call(std::string method, std::string target, std::string body,
+                        store::RequestPriority urgency);
 
   net::Loop& loop_;
   net::Transport& transport_;
   net::Address service_;
-  store::RateBudget budget_;
+  store::RateLimiter budget_;
 };
 
 }  // namespace dockdyke::cloud
--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -54,7 +54,7 @@
   const InstanceOffering offer{pending.rental.type, pending.rental.zone, pending.rental.spot};
   if (event.machines.size() < pending.rental.count) {
     // Partly filled: this offer is empty for now.
-    refusals_[offer] = {now + limits::kRefusedFirst, limits::kRefusedFirst};
+    refusals_[offer] = {now + constants::kOfferingBackoffInitial, constants::kOfferingBackoffInitial};
   } else {
     refusals_.erase(offer);
   }
@@ -65,8 +65,8 @@
   if (found == rents_.end()) return;
   const auto& rental = found->second.rental;
   OfferingBackoff& refusal = refusals_[{rental.type, rental.zone, rental.spot}];
-  refusal.pause =
-      refusal.pause == 0 ? limits::kRefusedFirst : std::min(limits::kRefusedMost, 2 * refusal.pause);
+  refusal.pause = refusal.pause == 0 ? constants::kOfferingBackoffInitial
+                                     : std::min(constants::kOfferingBackoffMax, 2 * refusal.pause);
   refusal.until = now + refusal.pause;
   rents_.erase(found);
 }
@@ -111,7 +111,7 @@
 
 bool Cluster::late(const Machine& machine, Time now) const {
   const auto* type = type_of(machine);
-  return type && now - machine.rented_at > limits::kLateBoots * type->boot_s;
+  return type && now - machine.rented_at > constants::kLateBootFactor * type->boot_s;
 }
 
 void Cluster::give_back(std::vector<MachineId> ids, Time) {
@@ -122,7 +122,7 @@
     RequestScaleIn effect{
         key::kScaleInPrefix + std::to_string(token_.value) + "-" + std::to_string(next_return_++), {}, false};
     std::size_t bytes = kAroundNames;
-    while (next < ids.size() && effect.machines.size() < limits::kMaxDelete) {
+    while (next < ids.size() && effect.machines.size() < constants::kMaxMachinesPerDeletion) {
       bytes += ids[next].value.size() + kAroundName;
       if (bytes > config_.max_value_bytes && !effect.machines.empty()) break;
       machines_.at(ids[next]).scale_in_requested = true;
@@ -139,20 +139,21 @@
     const auto* type = type_of(machine);
     const double unheard = now - machine.last_heartbeat_at;
     // Our answers have not reached it for longer than its lease lasts without them.
-    const bool deaf = machine.undelivered_responses >= limits::kUnheeded &&
-                      now - machine.undelivered_since > config_.worker_lease_s + limits::kLeaseMargin;
+    const bool deaf =
+        machine.undelivered_responses >= constants::kUndeliveredResponsesThreshold &&
+        now - machine.undelivered_since > config_.worker_lease_s + constants::kLeaseExpiryMargin;
     bool give_up = false;
     if (machine.state == MachineState::gone) {
       give_up = true;
     } else if (machine.state == MachineState::booting) {
       // One known only from a record and shown by no list is most likely gone; deleting it is the proof.
-      give_up = type ? now - machine.rented_at > limits::kLostBoots * type->boot_s
-                     : !machine.listed &&
-                           now - machine.rented_at > 2 * config_.machine_list_lag_s + limits::kUnknownMachine;
+      give_up = type ? now - machine.rented_at > constants::kLostBootFactor * type->boot_s
+                     : !machine.listed && now - machine.rented_at > 2 * config_.machine_list_lag_s +
+                                                                        constants::kUnknownMachineGrace;
     } else if (silent(machine, now)) {
-      give_up = machine.missed_listings >= limits::kUnlisted ||
+      give_up = machine.missed_listings >= constants::kMissedListingsThreshold ||
                 (machine.terminates_at && now > *machine.terminates_at) ||
-                unheard > config_.worker_lease_s + limits::kSilentPatience;
+                unheard > config_.worker_lease_s + constants::kSilentMachineGrace;
     } else if (deaf) {
       give_up = machine.assignments.empty() || !machine.token_acknowledged;
     } else if (machine.draining) {
@@ -167,8 +168,10 @@
   wire::ScaleOutRequest rental;
   // The token is this leadership's alone, so the name was never used before and never will be.
   rental.id = ScaleOutId("r-" + std::to_string(token_.value) + "-" + std::to_string(next_rent_++));
-  std::tie(rental.type, rental.zone, rental.spot) = offer;
-  rental.count = std::min<std::uint64_t>(count, limits::kMaxRent);
+  rental.type = offer.type;
+  rental.zone = offer.zone;
+  rental.spot = offer.spot;
+  rental.count = std::min<std::uint64_t>(count, constants::kMaxMachinesPerScaleOut);
   rents_[rental.id] = {rental, now};
   effects_.emplace_back(RequestScaleOut{rental, false});
 }
@@ -231,8 +234,8 @@
   for (const auto& type : types_) {
     const auto& name = type.name;
     double& lasting = ordinary_load_[name];
-    lasting += limits::kLoadSmoothing * (load[name] - lasting);
-    if (!any_work || lasting - coming[name] < limits::kReplaceAt || most == 0 ||
+    lasting += constants::kOnDemandLoadSmoothing * (load[name] - lasting);
+    if (!any_work || lasting - coming[name] < constants::kSpotReplacementThreshold || most == 0 ||
         type.spot_price >= type.price)
       continue;
     std::optional<InstanceOffering> offer;
@@ -240,10 +243,10 @@
       if (!offer && !resting({name, zone, true}, now)) offer = InstanceOffering{name, zone, true};
     if (!offer) continue;
     // One at a time where one makes up for it; a large load in one full call.
-    const auto count =
-        std::min<std::size_t>({most, limits::kMaxRent,
-                               std::max<std::size_t>(1, static_cast<std::size_t>((lasting - coming[name]) *
-                                                                                 limits::kReplaceShare))});
+    const auto count = std::min<std::size_t>(
+        {most, constants::kMaxMachinesPerScaleOut,
+         std::max<std::size_t>(
+             1, static_cast<std::size_t>((lasting - coming[name]) * constants::kSpotReplacementShare))});
     rent(*offer, count, now);
     most -= count;
   }
@@ -269,7 +272,7 @@
                                  1 - free.memory_gb / std::max(1e-9, type->size.memory_gb));
     if (machine.assignments.empty()) {
       idle.push_back(&machine);
-    } else if (load >= limits::kNearlyDone) {
+    } else if (load >= constants::kNearlyDoneProgress) {
       ++count_.overwhelmed;
     }
   }
@@ -312,7 +315,7 @@
   std::vector<MachineId> back;
   std::size_t idle_left = idle.size();
   for (const Machine* machine : idle) {
-    const double boots = machine->spot ? limits::kHoldBoots : limits::kHoldBootsOrdinary;
+    const double boots = machine->spot ? constants::kSpotIdleBootShare : constants::kOnDemandIdleBootShare;
     if (machine->reserved_for_gang != 0 || machine->in_gang_reserve) continue;
     if (now - machine->idle_since < boots * type_of(*machine)->boot_s) continue;
     ++count_.underwhelmed;
--- a/src/core/cluster.cpp
+++ b/src/core/cluster.cpp
@@ -15,7 +15,8 @@
       token_(token),
       elected_at_(now),
       elected_ms_(time_of_day_ms),
-      page_bytes_(config_.max_value_bytes - std::min(config_.max_value_bytes, limits::kPageMargin)),
+      page_bytes_(config_.max_value_bytes -
+                  std::min(config_.max_value_bytes, constants::kSegmentMarginBytes)),
       part_bytes_(page_bytes_),
       // Each end of a job is a put and a removal.
       ends_per_save_(std::max<std::size_t>(1, config_.max_transaction_changes / 2)) {}
@@ -323,7 +324,7 @@
 }
 
 bool Cluster::silent(const Machine& machine, Time now) const {
-  return now - machine.last_heartbeat_at > limits::kSilentReports * config_.heartbeat_interval_s;
+  return now - machine.last_heartbeat_at > constants::kSilentAfterHeartbeats * config_.heartbeat_interval_s;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/cluster.hpp
+++ b/src/core/cluster.hpp
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "core/estimates.hpp"
-#include "core/gang_reserve.hpp"
+#include "core/gang_capacity_reserve.hpp"
 #include "core/model.hpp"
+#include "core/run_time_estimator.hpp"
 
 namespace dockdyke::core {
 
--- a/src/core/demand.cpp
+++ b/src/core/demand.cpp
@@ -4,7 +4,7 @@
 
 #include "constants.hpp"
 #include "core/cluster.hpp"
-#include "core/room.hpp"
+#include "core/task_fit.hpp"
 
 namespace dockdyke::core {
 
@@ -41,9 +41,9 @@
   const Job& job = *ranked.job;
   if (!job.spec.spot_allowed) return true;
   // However far away its objective is, nobody's work waits for ever for a cheaper machine.
-  if (now - job.queued_since >= limits::kOrdinaryPatience) return true;
+  if (now - job.queued_since >= constants::kSpotWaitTimeout) return true;
   return ranked.reachable &&
-         ranked.due - now - job.expected_run_s - quickest_boot_s(job) < limits::kOrdinarySlack;
+         ranked.due - now - job.expected_run_s - quickest_boot_s(job) < constants::kOnDemandSlack;
 }
 
 // Machines that are alike in type, zone, kind and free room (rounded down), counted together: a fleet of many
@@ -63,7 +63,8 @@
     if (job.waiting_tasks() == 0 || now < job.backoff_until) continue;
     const auto start_s = quickest_start_s(job.spec.job_class);
     const bool waits =
-        start_s && now - job.queued_since > std::max(limits::kShortWait, limits::kPressedShare * *start_s);
+        start_s && now - job.queued_since >
+                       std::max(constants::kScaleOutDelay, constants::kStartPressureShare * *start_s);
     for (std::size_t i = 0; waits && i < pressed.size(); ++i)
       pressed[i] = pressed[i] || job.compatible_with(i);
   }
@@ -84,7 +85,9 @@
   const auto pressed = pressed_types(now);
   using Key = std::tuple<std::size_t, std::string, bool, long, long, long>;
   std::map<Key, std::size_t> counts;
-  auto steps = [](double amount) { return static_cast<long>(std::floor(amount / limits::kRoomStep + 1e-6)); };
+  auto steps = [](double amount) {
+    return static_cast<long>(std::floor(amount / constants::kCapacityStep + 1e-6));
+  };
   auto add = [&](std::size_t type, const std::string& zone, bool spot, const wire::Resources& room,
                  std::size_t count) {
     const Key key(type, zone, spot, steps(room.cpus), steps(room.gpus), steps(room.memory_gb));
@@ -111,7 +114,7 @@
     rooms.push_back(
         {type, zone, spot,
          wire::Resources{static_cast<double>(cpus), static_cast<double>(gpus), static_cast<double>(memory)} *
-             limits::kRoomStep,
+             constants::kCapacityStep,
          count});
   }
   return rooms;
@@ -188,7 +191,7 @@
   // None holds the whole gang: where the rest is rented.
   const auto offer =
       best_offer(claim.job, claim.left, ordinary, claim.avoided, claim.zones, demand.in_zone, now);
-  return offer ? std::optional(std::get<1>(*offer)) : std::nullopt;
+  return offer ? std::optional(offer->zone) : std::nullopt;
 }
 
 void Cluster::rent_rest(Demand& demand, Claim& claim, bool ordinary, Time now) const {
@@ -202,9 +205,10 @@
     const std::size_t per_machine =
         std::max<std::size_t>(1, tasks_fitting(claim.job.spec.task_resources, size));
     // As many as it needs, but turn by turn where its zones or the next offer matter.
-    const std::size_t count =
-        claim.zones ? 1
-                    : std::min({demand.most, (claim.left + per_machine - 1) / per_machine, limits::kMaxRent});
+    const std::size_t count = claim.zones
+                                  ? 1
+                                  : std::min({demand.most, (claim.left + per_machine - 1) / per_machine,
+                                              constants::kMaxMachinesPerScaleOut});
     demand.rooms.push_back({rented, zone, spot, size, count});
     demand.needed[*offer] += count;
     demand.in_zone[zone] += count;
@@ -234,7 +238,7 @@
   }
   std::erase_if(demand.rooms, [](const Rooms& each) { return each.count == 0; });
   // A short wait for machines that are about to free; a task no present machine could hold rents at once.
-  if (claim.left == 0 || (any_holds && now - job.queued_since < limits::kShortWait)) return;
+  if (claim.left == 0 || (any_holds && now - job.queued_since < constants::kScaleOutDelay)) return;
   rent_rest(demand, claim, ordinary, now);
 }
 
@@ -276,10 +280,12 @@
   std::size_t looked_at = 0;
   for (const auto& ranked : ranking(now)) {
     const Job& job = *ranked.job;
-    if (job.waiting_tasks() == 0 || now < job.backoff_until || looked_at >= limits::kDemandTasks) continue;
+    if (job.waiting_tasks() == 0 || now < job.backoff_until || looked_at >= constants::kMaxDemandTasks)
+      continue;
     const std::size_t allowed = quota_headroom(job);
     if (job.is_gang() && allowed < job.waiting_tasks()) continue;
-    Claim claim{job, std::min<std::size_t>({job.waiting_tasks(), allowed, limits::kDemandTasks - looked_at}),
+    Claim claim{job,
+                std::min<std::size_t>({job.waiting_tasks(), allowed, constants::kMaxDemandTasks - looked_at}),
                 zone_room(job), avoided_types(ranked, now)};
     looked_at += claim.left;
     count_.waiting_tasks += claim.left;
@@ -291,14 +297,14 @@
 std::size_t Cluster::rent_for_waiting(std::size_t most, Time now) {
   // Not only at the tick: every offer that is refused or partly filled would cost a whole tick before the
   // next is tried (31 s for the first fleet of a day, seen in simulation).
-  auto calls =
-      static_cast<std::size_t>(std::max(1.0, config_.cloud_rps * limits::kHousekeeping * limits::kRentShare));
+  auto calls = static_cast<std::size_t>(
+      std::max(1.0, config_.cloud_rps * constants::kHousekeepingInterval * constants::kScaleOutCallShare));
   std::size_t renting = 0;
   const auto rent_all = [&](const std::map<InstanceOffering, std::size_t>& needed) {
     for (auto [offer, machines] : needed) {
       // A large need takes several calls, each of them full.
       for (; machines > 0 && calls > 0; --calls) {
-        const auto count = std::min<std::size_t>(machines, limits::kMaxRent);
+        const auto count = std::min<std::size_t>(machines, constants::kMaxMachinesPerScaleOut);
         rent(offer, count, now);
         machines -= count;
         renting += count;
--- a/src/core/gang_reserve.cpp
+++ b/src/core/gang_capacity_reserve.cpp
@@ -1,4 +1,4 @@
-#include "core/gang_reserve.hpp"
+#include "core/gang_capacity_reserve.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -17,7 +17,8 @@
 std::vector<GangCapacityReserve::Wanted> GangCapacityReserve::wanted(double window_s, Time now) {
   std::vector<Wanted> out;
   for (auto& [job_class, arrivals] : arrivals_) {
-    while (!arrivals.empty() && now - arrivals.front().at > limits::kReserveMemory) arrivals.pop_front();
+    while (!arrivals.empty() && now - arrivals.front().at > constants::kGangArrivalMemory)
+      arrivals.pop_front();
     if (arrivals.empty()) continue;
     const auto size = [](const Arrival& each) {
       return each.spec.task_resources.cpus * each.spec.task_count;
--- a/src/core/gangs.cpp
+++ b/src/core/gangs.cpp
@@ -8,7 +8,7 @@
 
 #include "constants.hpp"
 #include "core/cluster.hpp"
-#include "core/room.hpp"
+#include "core/task_fit.hpp"
 
 namespace dockdyke::core {
 
@@ -159,7 +159,7 @@
   job.gang.aborted = true;
   std::map<Machine*, std::vector<wire::Command>, ById> commands;
   for (auto& [index, assignment] : job.assignments) {
-    stop(assignment, job.spec.checkpoint_duration_s + limits::kGangSaveMargin);
+    stop(assignment, job.spec.checkpoint_duration_s + constants::kGangCheckpointMargin);
     commands[assignment.machine].push_back(
         {wire::CommandKind::stop, {job.spec.id, index}, assignment.attempt, assignment.grace_s});
   }
@@ -176,7 +176,7 @@
   const double ran = job.gang.started_at > 0 ? now - job.gang.started_at : 0;
   if (job.expected_run_s - ran <= left_s) return;  // it may well end before
   const double needed_s =
-      spec.checkpoint_duration_s + limits::kNoticeMargin + 1.25 * config_.heartbeat_interval_s;
+      spec.checkpoint_duration_s + constants::kTerminationNoticeMargin + 1.25 * config_.heartbeat_interval_s;
   if (spec.checkpoint_interval_s <= 0) {
     break_gang(job);  // nothing of it can be kept: the sooner it starts again elsewhere the better
   } else if (left_s <= needed_s && left_s > spec.checkpoint_duration_s && can_save_gang(job, now)) {
@@ -203,8 +203,8 @@
 }
 
 void Cluster::watch_gangs(Time now) {
-  const double most_s = std::min(limits::kGangAssembleShare * config_.gang_assembly_timeout_s,
-                                 limits::kGangAssembleReports * config_.heartbeat_interval_s);
+  const double most_s = std::min(constants::kGangAssemblyShare * config_.gang_assembly_timeout_s,
+                                 constants::kGangAssemblyHeartbeats * config_.heartbeat_interval_s);
   for (auto& [id, job] : jobs_) {
     if (!job.is_gang() || job.assignments.empty() || job.gang.aborted || job.complete() || job.cancelled)
       continue;
@@ -213,7 +213,7 @@
     // may not do so in time.
     for (auto& [index, assignment] : job.assignments) {
       if (assignment.observed || assignment.adopted) continue;
-      assignment.machine->assignments_paused_until = now + limits::kNoRoomBackoff;
+      assignment.machine->assignments_paused_until = now + constants::kNoCapacityBackoff;
       break_gang(job);
     }
   }
@@ -286,7 +286,7 @@
     Candidate candidate{machine, 0, *cost, tasks_fitting(job.spec.task_resources, room(*machine))};
     if (!machine->has_image(job.spec.image)) candidate.fetch_s = fetch_s(job, *machine);
     // All go at the pace of the slowest.
-    candidate.fetch_s += limits::kSlowSignWeight * machine->straggler_signs;
+    candidate.fetch_s += constants::kStragglerSignCost * machine->straggler_signs;
     groups[job.spec.same_zone ? machine->zone : std::string()].push_back(candidate);
   }
   std::optional<Choice> best;
@@ -298,7 +298,7 @@
 }
 
 bool Cluster::place_gang(Job& job, const std::vector<Machine*>& machines, Time now) {
-  if (job.failed_machines.size() >= limits::kSuspectMachines) job.failed_machines.clear();
+  if (job.failed_machines.size() >= constants::kSuspectJobMachines) job.failed_machines.clear();
   const auto places = gang_places(job, machines, now);
   if (places.empty()) return false;
   GangAttempt& gang = job.gang;
@@ -345,21 +345,21 @@
   for (const auto& ranked : ranking(now)) {
     Job& job = *ranked.job;
     if (!job.is_gang() || job.waiting_tasks() == 0 || now < job.backoff_until) continue;
-    if (now - job.queued_since < limits::kGangOpenShare * heartbeat_round_s()) continue;
+    if (now - job.queued_since < constants::kGangPlacementWaitShare * heartbeat_round_s()) continue;
     if (!machines) machines = accepting_machines(now);
     place_gang(job, *machines, now);
   }
 }
 
 bool Cluster::kept_from(const Job& job, const Machine& machine, Time now) {
-  if (machine.in_gang_reserve && !job.is_gang() && now - job.queued_since < limits::kReservePatience)
+  if (machine.in_gang_reserve && !job.is_gang() && now - job.queued_since < constants::kGangReserveWait)
     return true;
   return machine.reserved_for_gang != 0 && machine.reserved_for_gang != job.serial;
 }
 
 bool Cluster::wants_quick_starts(const wire::JobSpec& spec) const {
   const auto wanted_s = quickest_start_s(spec.job_class);
-  return wanted_s && *wanted_s < limits::kQuickStart;
+  return wanted_s && *wanted_s < constants::kQuickStartTarget;
 }
 
 Job Cluster::model_gang(const wire::JobSpec& spec) const {
@@ -418,12 +418,13 @@
   if (any_kept || now < next_keeping_) return;
   for (const auto& ranked : ranking(now)) {
     Job& job = *ranked.job;
-    if (!job.is_gang() || now < job.backoff_until || now - job.queued_since < limits::kGangKeepAfter ||
+    if (!job.is_gang() || now < job.backoff_until ||
+        now - job.queued_since < constants::kGangReservationDelay ||
         quota_headroom(job) < job.spec.task_count)
       continue;
     if (!keep_room(job, now)) continue;
     // For a bounded time, and then not for a while, so that what is kept out meanwhile is served as well.
-    next_keeping_ = now + limits::kGangKeep + limits::kGangKeepRest;
+    next_keeping_ = now + constants::kGangReservationTime + constants::kGangReservationPause;
     return;
   }
 }
@@ -438,7 +439,7 @@
       const TaskAssignment& assignment = task.assignment();
       const double ran = assignment.ran_s(now);
       const bool ends = task.job->spec.kind != wire::JobKind::service &&
-                        std::max(0.0, task.job->expected_run_s - ran) < limits::kGangKeep;
+                        std::max(0.0, task.job->expected_run_s - ran) < constants::kGangReservationTime;
       if (ends || assignment.stopping) free += task.job->spec.task_resources;
     }
     if (const auto fits = tasks_fitting(job.spec.task_resources, free); fits > 0)
@@ -453,7 +454,7 @@
     if (sum < job.spec.task_count) continue;
     for (std::size_t i = 0; i < count; ++i) {
       machines[i].second->reserved_for_gang = job.serial;
-      machines[i].second->reservation_expires_at = now + limits::kGangKeep;
+      machines[i].second->reservation_expires_at = now + constants::kGangReservationTime;
     }
     return true;
   }
--- a/src/core/model.hpp
+++ b/src/core/model.hpp
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/records.hpp"
+#include "core/stored_records.hpp"
 #include "wire/messages.hpp"
 
 namespace dockdyke::core {
@@ -241,8 +241,13 @@
   Time since = 0;
 };
 
-// Where a rental may be tried: type, zone, spot or not.
-using InstanceOffering = std::tuple<std::string, std::string, bool>;
+// What the cloud may be asked for: machines of one type in one zone, spot or on-demand.
+struct InstanceOffering {
+  std::string type;
+  std::string zone;
+  bool spot = false;
+  auto operator<=>(const InstanceOffering&) const = default;
+};
 
 struct OfferingBackoff {
   Time until = 0;
--- a/src/core/pages.cpp
+++ b/src/core/pages.cpp
@@ -37,10 +37,10 @@
 
 std::optional<double> Cluster::next_write_due_in(Time now) const {
   if (!unfinished_finals_.empty() || !unwritten_parts_.empty()) return 0;
-  if (unwritten_jobs_.empty() || pages_in_flight_ >= limits::kPagesInFlight) return std::nullopt;
+  if (unwritten_jobs_.empty() || pages_in_flight_ >= constants::kMaxSegmentsInFlight) return std::nullopt;
   // A page costs its own write and later that of its removal; the rest of the leader's writes are others'.
-  const double spacing = limits::kWritesPerPage / (config_.write_rps * limits::kLeaderShare);
-  const double wait = page_wanted_ ? (page_was_full_ ? 0 : spacing) : limits::kHousekeeping;
+  const double spacing = constants::kWritesPerSegment / (config_.write_rps * constants::kLeaderRateShare);
+  const double wait = page_wanted_ ? (page_was_full_ ? 0 : spacing) : constants::kHousekeepingInterval;
   return std::max(0.0, paged_at_ + wait - now);
 }
 
@@ -107,7 +107,7 @@
 std::size_t Cluster::pages_kept() const {
   std::size_t live = 0;
   for (const auto& [number, page] : pages_) live += page.live;
-  return limits::kPagesKept + live / limits::kEntriesPerPage;
+  return constants::kMinSegmentsKept + live / constants::kLiveEntriesPerSegment;
 }
 
 void Cluster::carry_over_oldest(SegmentRecord& record, TaskLogSegment& page, std::size_t& bytes) const {
@@ -115,7 +115,7 @@
   std::map<std::uint32_t, std::vector<TaskIndex>> live;
   std::size_t carried = 0;
   for (auto oldest = pages_.begin(); oldest != pages_.end() && surplus > 0; ++oldest, --surplus) {
-    if (!oldest->second.confirmed || carried >= limits::kEntriesPerPage) break;
+    if (!oldest->second.confirmed || carried >= constants::kLiveEntriesPerSegment) break;
     for (const auto& entry : oldest->second.entries) {
       auto job = by_serial_.find(entry.job);
       if (job == by_serial_.end() || job->second->complete()) continue;
@@ -253,10 +253,10 @@
   const InFlight in_flight = std::move(save->second);
   saves_.erase(save);
   if (in_flight.page != 0) {
-    page_bytes_ = std::max(limits::kLeastPage, page_bytes_ / 2);
+    page_bytes_ = std::max(constants::kMinSegmentBytes, page_bytes_ / 2);
     page_rejected(in_flight.page);
   } else if (in_flight.gang) {
-    part_bytes_ = std::max(limits::kLeastPage, part_bytes_ / 2);
+    part_bytes_ = std::max(constants::kMinSegmentBytes, part_bytes_ / 2);
     gang_part_rejected(*in_flight.gang);
   } else {
     ends_per_save_ = std::max<std::size_t>(1, ends_per_save_ / 2);
--- a/src/core/placement.cpp
+++ b/src/core/placement.cpp
@@ -61,7 +61,7 @@
   if (assignment.running_since == 0 || expected <= 0) return false;
   const double progress = (now - assignment.running_since) / expected;
   // Past a good deal more than its estimate a task has shown the estimate wrong, not that it is about to end.
-  return progress >= limits::kNearlyDone && progress <= limits::kOverdue;
+  return progress >= constants::kNearlyDoneProgress && progress <= constants::kOverrunFactor;
 }
 
 bool Cluster::frees_soon(const Job& job, const TaskAssignment& assignment, Time now) const {
@@ -69,8 +69,8 @@
   const double expected = job.expected_run_s;
   if (expected <= 0) return false;
   const double ran = assignment.ran_s(now);
-  if (ran > limits::kOverdue * expected) return false;
-  return expected - ran < limits::kSoonBoots * quickest_boot_s(job);
+  if (ran > constants::kOverrunFactor * expected) return false;
+  return expected - ran < constants::kFreesSoonBootShare * quickest_boot_s(job);
 }
 
 double Cluster::quickest_boot_s(const Job& job) const {
@@ -90,7 +90,7 @@
     if (objective.kind == ServiceLevelObjective::Kind::deadline && job.spec.deadline_s)
       goals.push_back(*job.spec.deadline_s * objective.deadline_factor);
   }
-  if (goals.empty()) goals.push_back(job.spec.deadline_s.value_or(limits::kNoDeadline));
+  if (goals.empty()) goals.push_back(job.spec.deadline_s.value_or(constants::kDefaultDeadline));
   std::sort(goals.begin(), goals.end());
   return goals;
 }
@@ -105,12 +105,12 @@
 }
 
 bool Cluster::starving(const Job& job, Time now) const {
-  return !job.started && job.assignments.empty() && now - job.submitted >= limits::kStarving;
+  return !job.started && job.assignments.empty() && now - job.submitted >= constants::kStarvationThreshold;
 }
 
 const Cluster::Ranking& Cluster::ranking(Time now) {
-  const bool cheap = ranking_.size() < limits::kCheapRanking;
-  if (ranking_stale_ && (cheap || now - ranked_at_ >= limits::kRankEvery)) rank_jobs(now);
+  const bool cheap = ranking_.size() < constants::kSmallQueueSize;
+  if (ranking_stale_ && (cheap || now - ranked_at_ >= constants::kQueueOrderInterval)) rank_jobs(now);
   return ranking_;
 }
 
@@ -155,8 +155,9 @@
     each.first_due = job->submitted + goals.front();
     const auto start_s = quickest_start_s(job->spec.job_class);
     const bool starts_count = start_s && *start_s < 2 * heartbeat_round_s();
-    each.hasty = starts_count || !each.reachable ||
-                 each.due - now - job->expected_run_s < limits::kHastyRounds * heartbeat_round_s();
+    each.hasty =
+        starts_count || !each.reachable ||
+        each.due - now - job->expected_run_s < constants::kLatencyCriticalRounds * heartbeat_round_s();
     ranking_.push_back(each);
   }
   // Whoever has not begun for very long comes first, whatever its priority. Within a priority the first
@@ -182,9 +183,9 @@
 bool Cluster::accepts(const Machine& machine, Time now) const {
   return machine.state == MachineState::up && machine.token_acknowledged && !machine.draining &&
          !machine.scale_in_requested && !machine.terminates_at && !machine.runs_unknown_tasks &&
-         machine.failed_jobs.size() < limits::kFaultyJobs &&
-         machine.undelivered_responses < limits::kUnheeded && now >= machine.assignments_paused_until &&
-         !silent(machine, now);
+         machine.failed_jobs.size() < constants::kFaultyMachineJobs &&
+         machine.undelivered_responses < constants::kUndeliveredResponsesThreshold &&
+         now >= machine.assignments_paused_until && !silent(machine, now);
 }
 
 wire::Resources Cluster::room(const Machine& machine) const {
@@ -238,7 +239,7 @@
   scarce_.clear();
   for (const auto& ranked : ranking(now)) {
     const Job& job = *ranked.job;
-    if (now < job.backoff_until || now - job.queued_since < limits::kShortWait) continue;
+    if (now < job.backoff_until || now - job.queued_since < constants::kScaleOutDelay) continue;
     const auto only = std::find(job.compatible_types.begin(), job.compatible_types.end(), true);
     if (std::count(job.compatible_types.begin(), job.compatible_types.end(), true) != 1) continue;
     const auto type = static_cast<std::size_t>(only - job.compatible_types.begin());
@@ -269,7 +270,7 @@
 }
 
 double Cluster::fetch_s(const Job& job, const Machine& machine) const {
-  return job.spec.image_gb / std::max(limits::kLeastFetch, type_of(machine)->fetch_gb_per_s);
+  return job.spec.image_gb / std::max(constants::kMinImageFetchRate, type_of(machine)->fetch_gb_per_s);
 }
 
 bool Cluster::fetches_image(const Machine& machine, const Job& job) {
@@ -282,13 +283,13 @@
   if (!job.spec.task_resources.fits_into(free)) return std::nullopt;
   if (!allowed_on(job, machine.type_number, machine.zone, machine.spot)) return std::nullopt;
   if (job.failed_machines.contains(machine.id)) return std::nullopt;
-  double cost = (free.cpus - job.spec.task_resources.cpus) / largest_cpus * limits::kLeftoverWeight;
-  if (machine.assignments.empty()) cost += limits::kOpenWeight;
-  if (!machine.spot && job.spec.spot_allowed) cost += limits::kOrdinaryWeight;
-  if (!machine.failed_jobs.empty()) cost += limits::kFailedWeight;
+  double cost = (free.cpus - job.spec.task_resources.cpus) / largest_cpus * constants::kLeftoverCapacityCost;
+  if (machine.assignments.empty()) cost += constants::kEmptyMachineCost;
+  if (!machine.spot && job.spec.spot_allowed) cost += constants::kOnDemandCost;
+  if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCost;
   if (!machine.has_image(job.spec.image)) {
     const double fetch = fetch_s(job, machine);
-    cost += fetches_image(machine, job) ? fetch * limits::kSharedFetch : fetch;
+    cost += fetches_image(machine, job) ? fetch * constants::kSharedImageFetchShare : fetch;
   }
   return cost;
 }
@@ -311,7 +312,7 @@
 }
 
 double Cluster::heartbeat_round_s() const {
-  return limits::kReportRound * config_.heartbeat_interval_s;
+  return constants::kHeartbeatRoundFactor * config_.heartbeat_interval_s;
 }
 
 std::size_t Cluster::tier(const Machine& machine) {
@@ -340,7 +341,7 @@
                                std::size_t most, Time now) {
   Job& job = *ranked.job;
   // A job that failed on every machine in reach starts over with all of them.
-  if (job.failed_machines.size() >= limits::kSuspectMachines) job.failed_machines.clear();
+  if (job.failed_machines.size() >= constants::kSuspectJobMachines) job.failed_machines.clear();
   // For a job that has not begun for long the first task is what counts; with the rest it stands in line.
   most = std::min(ranked.starving ? std::min<std::size_t>(1, most) : most, quota_headroom(job));
   const auto avoided = avoided_types(ranked, now);
@@ -423,11 +424,13 @@
         if (!any_image) place_gang(job, open, now);
         continue;
       }
-      const bool takes_any = any_image || ranked.hasty || now - job.queued_since >= limits::kImagePatience;
-      const std::size_t given = place_job(ranked, open, takes_any, limits::kPlacePerBatch - placed, now);
+      const bool takes_any =
+          any_image || ranked.hasty || now - job.queued_since >= constants::kImageLocalityDelay;
+      const std::size_t given =
+          place_job(ranked, open, takes_any, constants::kMaxAssignmentsPerPass - placed, now);
       placed += given;
       if (given > 0) std::erase_if(open, [&](const Machine* each) { return !least.fits_into(room(*each)); });
-      if (placed >= limits::kPlacePerBatch) {
+      if (placed >= constants::kMaxAssignmentsPerPass) {
         place_wanted_ = true;
         return;
       }
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -36,7 +36,7 @@
     const auto above_low =
         static_cast<double>(other.spec.priority) - static_cast<double>(wire::Priority::low);
     victims.emplace_back((other.spec.checkpoint_interval_s > 0 ? other.spec.checkpoint_duration_s : ran) +
-                             limits::kStopPriorityWeight * above_low,
+                             constants::kPreemptionPriorityCost * above_low,
                          task);
   }
   std::sort(victims.begin(), victims.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -132,7 +132,7 @@
     // took a third of the leader's processor time at 2,049 machines.
     if (!least || (job.spec.priority <= *least && !ranked.guaranteed)) continue;
     if (job.is_gang() || job.waiting_tasks() == 0 || now < job.backoff_until ||
-        now - job.queued_since < limits::kPreemptWait || quota_headroom(job) == 0)
+        now - job.queued_since < constants::kPreemptionDelay || quota_headroom(job) == 0)
       continue;
     if (!open) open = accepting_machines(now);
     make_room_for(ranked, *open, claimed, now);
--- a/src/core/reports.cpp
+++ b/src/core/reports.cpp
@@ -135,7 +135,7 @@
     if (machine.undelivered_responses++ == 0) machine.undelivered_since = now;
   }
   for (const auto& task : missed) {
-    if (machine.undelivered_responses < limits::kUnheeded) {
+    if (machine.undelivered_responses < constants::kUndeliveredResponsesThreshold) {
       task.assignment().dispatched =
           false;  // the answer with the start got lost; the same attempt may be sent again
     } else {
@@ -159,7 +159,7 @@
         if (assignment.running_since > assignment.assigned_at && assignment.dispatched) {
           const double took_s = now - assignment.running_since;
           estimates_.observe(job.spec.job_class, job.spec.estimated_run_s, took_s);
-          const bool slow = assignment.attempt == 1 && overlong(job, took_s, limits::kSlowTimes);
+          const bool slow = assignment.attempt == 1 && overlong(job, took_s, constants::kStragglerFactor);
           machine.straggler_signs = slow ? machine.straggler_signs + 1 : 0;
           job.total_run_s += took_s;
           ++job.completed_runs;
@@ -182,12 +182,12 @@
       if (!job.is_gang() || !std::exchange(job.gang.failure_counted, true)) task_failed(job, machine, now);
       break;
     case ExitCause::no_room:
-      machine.assignments_paused_until = now + limits::kNoRoomBackoff;
+      machine.assignments_paused_until = now + constants::kNoCapacityBackoff;
       break;
     case ExitCause::unknown_job:
       ++job.failures;
       job.backoff_until =
-          now + std::min(limits::kErrorBackoffMost, limits::kErrorBackoffFirst * job.failures);
+          now + std::min(constants::kErrorBackoffMax, constants::kErrorBackoffInitial * job.failures);
       break;
     case ExitCause::stopped:
     case ExitCause::busy:
@@ -210,30 +210,30 @@
       if (auto found = machines_.find(id); found != machines_.end())
         found->second.failed_jobs.erase(job.spec.id);
   }
-  if (job.failed_machines.size() >= limits::kSuspectMachines) {
+  if (job.failed_machines.size() >= constants::kSuspectJobMachines) {
     // It fails wherever it runs, and trying often helps nobody.
     const double doublings =
-        std::min<double>(6, static_cast<double>(job.failed_machines.size() - limits::kSuspectMachines));
-    job.backoff_until =
-        now + std::min(limits::kErrorBackoffMost, limits::kErrorBackoffFirst * std::exp2(doublings + 1));
+        std::min<double>(6, static_cast<double>(job.failed_machines.size() - constants::kSuspectJobMachines));
+    job.backoff_until = now + std::min(constants::kErrorBackoffMax,
+                                       constants::kErrorBackoffInitial * std::exp2(doublings + 1));
   }
 }
 
 void Cluster::judge_machines(Time now) {
   for (auto& [id, machine] : machines_) {
-    if (machine.draining || machine.failed_jobs.size() < limits::kFaultyJobs) continue;
+    if (machine.draining || machine.failed_jobs.size() < constants::kFaultyMachineJobs) continue;
     // It gets no work meanwhile. The wait lets the jobs fail elsewhere too, if it is they that are broken:
     // two broken jobs had several healthy machines deleted when this was decided at once.
     Time latest = 0;
     for (const auto& [job, at] : machine.failed_jobs) latest = std::max(latest, at);
-    if (now - latest >= limits::kJudgeAfter) machine.draining = true;
+    if (now - latest >= constants::kQuarantineDelay) machine.draining = true;
   }
 }
 
 bool Cluster::overlong(const Job& job, double ran_s, double times) {
   // The first to end are the shortest: with half of them done their mean is near enough to that of all.
-  return job.completed_runs >= limits::kRunsToTrust && 2 * job.completed_runs >= job.next_unattempted &&
-         ran_s > times * job.mean_run_s();
+  return job.completed_runs >= constants::kMinRunsForStragglers &&
+         2 * job.completed_runs >= job.next_unattempted && ran_s > times * job.mean_run_s();
 }
 
 void Cluster::leave_slow_machine(Machine& machine, Time now) {
@@ -244,10 +244,11 @@
     // Only a first attempt: a task that simply takes that long must not be moved on for ever.
     if (assignment.running_since == 0 || assignment.stopping || assignment.attempt > 1) continue;
     const double ran_s = now - assignment.running_since;
-    if (overlong(*task.job, ran_s, limits::kSlowTimes)) ++signs;
-    if (overlong(*task.job, ran_s, limits::kSurelySlowTimes)) signs += limits::kSlowSigns;
+    if (overlong(*task.job, ran_s, constants::kStragglerFactor)) ++signs;
+    if (overlong(*task.job, ran_s, constants::kCertainStragglerFactor))
+      signs += constants::kStragglerSignsThreshold;
   }
-  if (signs < limits::kSlowSigns) return;
+  if (signs < constants::kStragglerSignsThreshold) return;
   machine.draining = true;
   for (const auto& task : machine.assignments) {
     const auto& spec = task.job->spec;
@@ -255,7 +256,7 @@
     if (assignment.stopping || assignment.attempt > 1 || spec.kind != wire::JobKind::array) continue;
     const double ran_s = assignment.ran_s(now);
     // One that is nearly through even so is better left alone; one that saves loses little.
-    if (spec.checkpoint_interval_s > 0 || ran_s < limits::kSurelySlowTimes * task.job->mean_run_s())
+    if (spec.checkpoint_interval_s > 0 || ran_s < constants::kCertainStragglerFactor * task.job->mean_run_s())
       stop(assignment, spec.checkpoint_duration_s);
   }
 }
@@ -281,7 +282,7 @@
   if (found == machines_.end() || !loaded_ || !found->second.token_acknowledged) return commands;
   Machine& machine = found->second;
   for (const auto& task : machine.unassigned_tasks) {
-    if (commands.size() >= limits::kMaxCommandsPerResponse) return commands;
+    if (commands.size() >= constants::kMaxCommandsPerResponse) return commands;
     if (task.state != TaskState::exited) {
       commands.push_back({wire::CommandKind::stop, task.task, task.attempt, 0});
       continue;
@@ -292,7 +293,7 @@
     machine.acknowledged_exits.emplace_back(task.task, task.attempt);
   }
   for (const auto& task : machine.assignments) {
-    if (commands.size() >= limits::kMaxCommandsPerResponse) return commands;
+    if (commands.size() >= constants::kMaxCommandsPerResponse) return commands;
     TaskAssignment& assignment = task.assignment();
     const wire::TaskId ref{task.job->spec.id, task.index};
     if (assignment.stopping) {
@@ -337,7 +338,7 @@
     const TaskAssignment& assignment = task.assignment();
     if (assignment.stopping) return true;
     if (task.job->spec.kind == wire::JobKind::service || assignment.running_since == 0) return false;
-    return now - assignment.running_since > limits::kHoldProgress * task.job->expected_run_s;
+    return now - assignment.running_since > constants::kHoldProgressThreshold * task.job->expected_run_s;
   });
 }
 
--- a/src/core/estimates.cpp
+++ b/src/core/run_time_estimator.cpp
@@ -1,4 +1,4 @@
-#include "core/estimates.hpp"
+#include "core/run_time_estimator.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,10 +10,10 @@
 void RunTimeEstimator::observe(const std::string& job_class, double estimated_run_s, double took_s) {
   if (estimated_run_s <= 0 || took_s <= 0) return;
   // In logarithms, since half and double are errors of the same size.
-  const double ratio =
-      std::log(std::clamp(took_s / estimated_run_s, limits::kLearnLeast, limits::kLearnMost));
+  const double ratio = std::log(std::clamp(took_s / estimated_run_s, constants::kEstimateCorrectionMin,
+                                           constants::kEstimateCorrectionMax));
   double& known = log_ratio_[job_class];
-  known += limits::kLearnRate * (ratio - known);
+  known += constants::kEstimateLearningRate * (ratio - known);
 }
 
 double RunTimeEstimator::expected(const std::string& job_class, double estimated_run_s) const {
--- a/src/core/records.cpp
+++ b/src/core/stored_records.cpp
@@ -1,4 +1,4 @@
-#include "core/records.hpp"
+#include "core/stored_records.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/src/core/room.hpp
+++ b/src/core/task_fit.hpp
@@ -13,7 +13,7 @@
 // How many tasks of this size fit into this room, at most `kDemandTasks`.
 inline std::size_t tasks_fitting(const wire::Resources& each, const wire::Resources& room) {
   constexpr double kRounding = 1e-6;
-  double count = limits::kDemandTasks;
+  double count = constants::kMaxDemandTasks;
   const auto bound = [&](double need, double have) {
     if (need > 0) count = std::min(count, std::floor(std::max(0.0, have + kRounding) / need));
   };
--- a/src/core/timers.cpp
+++ b/src/core/timers.cpp
@@ -10,7 +10,8 @@
 // ---- Time -------------------------------------------------------------------------------------------------
 
 bool Cluster::lease_over(const Machine& machine, Time now) const {
-  const double lease = config_.worker_lease_s * (1 + 2 * limits::kDrift) + limits::kLeaseMargin;
+  const double lease =
+      config_.worker_lease_s * (1 + 2 * constants::kMaxClockDrift) + constants::kLeaseExpiryMargin;
   // Only a worker that has shown our token is known to live on our answers alone; one that an earlier
   // leader may still keep alive is waited for or deleted.
   return machine.token_acknowledged &&
@@ -34,8 +35,8 @@
 void Cluster::delete_cancelled_work(Time now) {
   // A machine that hangs ends nothing: what it held when its lease ran out it holds until it goes on or is
   // deleted. Waited for like any silent machine, some held cancelled tasks past the time that these have.
-  const double reserve_s =
-      std::min(limits::kCancelReserve, limits::kCancelReserveShare * config_.cancellation_timeout_s);
+  const double reserve_s = std::min(constants::kCancellationReserveMax,
+                                    constants::kCancellationReserveShare * config_.cancellation_timeout_s);
   std::vector<MachineId> held;
   for (auto& [id, machine] : machines_) {
     if (machine.scale_in_requested || machine.state != MachineState::up || !silent(machine, now)) continue;
@@ -66,7 +67,8 @@
     const double remaining = std::max(0.0, task.job->expected_run_s - ran);
     if (spec.checkpoint_interval_s > 0) {
       // Orders travel only with answers, so the last chance is a report period before it is needed.
-      if (left <= spec.checkpoint_duration_s + limits::kNoticeMargin + 1.25 * config_.heartbeat_interval_s)
+      if (left <= spec.checkpoint_duration_s + constants::kTerminationNoticeMargin +
+                      1.25 * config_.heartbeat_interval_s)
         stop(assignment, spec.checkpoint_duration_s);
     } else if (spec.kind == wire::JobKind::service || remaining > left) {
       stop(assignment, 0);  // it can't end here: the sooner it starts again elsewhere the better
@@ -75,7 +77,7 @@
 }
 
 void Cluster::on(const Tick&, Time now) {
-  const auto outdated = [&](const auto& each) { return now - each.second > limits::kTombstone; };
+  const auto outdated = [&](const auto& each) { return now - each.second > constants::kTombstoneTtl; };
   std::erase_if(tombstones_, outdated);
   std::erase_if(over_, outdated);
   if (!loaded_) return;
@@ -93,11 +95,11 @@
   place_gangs_anywhere(now);
   keep_room_for_gang(now);
   hold_reserve(now);
-  if (now - preempted_at_ >= limits::kPreemptEvery) {
+  if (now - preempted_at_ >= constants::kPreemptionInterval) {
     preempted_at_ = now;
     make_room(now);
   }
-  if (now - scaled_at_ >= limits::kTick) {
+  if (now - scaled_at_ >= constants::kAutoscalerInterval) {
     scaled_at_ = now;
     review_machines(now);
     scale(now);
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -9,14 +9,15 @@
   while (!queue.empty()) {
     Idle last = std::move(queue.back());
     queue.pop_back();
-    if (loop_.now() - last.since < limits::kIdleClient && !last.socket.stale()) return std::move(last.socket);
+    if (loop_.now() - last.since < constants::kIdleClientConnectionTimeout && !last.socket.stale())
+      return std::move(last.socket);
   }
   return std::nullopt;
 }
 
 void HttpClient::keep(Address to, Socket socket) {
   auto& queue = idle_[to];
-  if (queue.size() >= limits::kIdlePerDestination) queue.pop_front();
+  if (queue.size() >= constants::kMaxIdleConnectionsPerHost) queue.pop_front();
   queue.push_back({std::move(socket), loop_.now()});
 }
 
@@ -42,7 +43,7 @@
   const IoStatus sent = co_await socket->write_all(bytes, deadline);
   if (sent != IoStatus::ok) co_return give_up(to);
 
-  HttpParser parser(HttpParser::Kind::response, limits::kMaxResponseBody);
+  HttpParser parser(HttpParser::Kind::response, constants::kMaxResponseBodyBytes);
   while (!parser.complete() && parser.error() == 0) {
     const ReadResult got = co_await socket->read_some(buffer_, deadline);
     if (got.status == IoStatus::timeout) co_return give_up(to);
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -32,7 +32,7 @@
 
 class HttpClient : public Transport {
  public:
-  explicit HttpClient(Loop& loop) : loop_(loop), buffer_(limits::kReadChunk) {}
+  explicit HttpClient(Loop& loop) : loop_(loop), buffer_(constants::kReadBufferBytes) {}
   Task<CallResult> call(Address to, std::string method, std::string target, std::string body,
                         Duration timeout) override;
 
--- a/src/net/http_parser.cpp
+++ b/src/net/http_parser.cpp
@@ -73,7 +73,7 @@
     auto end = bytes.find('\n');
     auto part = bytes.substr(0, end == std::string_view::npos ? bytes.size() : end);
     head_bytes_ += part.size() + 1;
-    if (head_bytes_ > limits::kMaxHead) {
+    if (head_bytes_ > constants::kMaxHeadBytes) {
       fail(431);
       break;
     }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -71,7 +71,7 @@
       listen_fd_(listen_on(address)),
       max_connections_(max_connections),
       handler_(std::move(handler)),
-      buffer_(limits::kReadChunk) {
+      buffer_(constants::kReadBufferBytes) {
   loop_.attach(listen_fd_, &readiness_);
 }
 
@@ -82,7 +82,7 @@
 Task<void> HttpServer::accept_loop() {
   for (;;) {
     int taken = 0;
-    while (taken < limits::kAcceptsPerTurn) {
+    while (taken < constants::kMaxAcceptsPerTurn) {
       int fd = ::accept4(listen_fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0) {
         if (errno == EAGAIN || errno == EWOULDBLOCK) readiness_.readable = false;
@@ -106,21 +106,22 @@
 }
 
 Task<void> HttpServer::refuse(Socket socket) {
-  HttpResponse response{503, {}, limits::kRetryAfter};
+  HttpResponse response{503, {}, constants::kRetryAfterSeconds};
   const auto bytes = serialize(response, false);
   co_await socket.write_all(bytes, loop_.now() + std::chrono::seconds(1));
 }
 
 bool HttpServer::crowded() const {
-  return static_cast<double>(connections_) > limits::kCrowdedShare * static_cast<double>(max_connections_);
+  return static_cast<double>(connections_) >
+         constants::kKeepAliveConnectionShare * static_cast<double>(max_connections_);
 }
 
 Task<void> HttpServer::serve(Socket socket) {
-  HttpParser parser(HttpParser::Kind::request, limits::kMaxRequestBody);
+  HttpParser parser(HttpParser::Kind::request, constants::kMaxRequestBodyBytes);
   std::string pending;
   bool open = true;
   while (open) {
-    TimePoint deadline = loop_.now() + limits::kIdleConnection;
+    TimePoint deadline = loop_.now() + constants::kIdleConnectionTimeout;
     bool timing_request = false;
     while (open) {
       if (!pending.empty()) {
@@ -130,7 +131,7 @@
       if (parser.complete() || parser.error() != 0) break;
       if (parser.started() && !timing_request) {
         timing_request = true;
-        deadline = loop_.now() + limits::kRequestRead;
+        deadline = loop_.now() + constants::kRequestReadTimeout;
       }
       const ReadResult got = co_await socket.read_some(buffer_, deadline);
       if (got.status != IoStatus::ok) {
@@ -151,7 +152,7 @@
       keep_alive = asked_to_keep && !crowded();
     }
     const auto bytes = serialize(response, keep_alive);
-    const IoStatus sent = co_await socket.write_all(bytes, loop_.now() + limits::kResponseWrite);
+    const IoStatus sent = co_await socket.write_all(bytes, loop_.now() + constants::kResponseWriteTimeout);
     open = keep_alive && sent == IoStatus::ok;
   }
   --connections_;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -49,7 +49,7 @@
 }
 
 void Loop::run() {
-  while (!stopping_) turn(limits::kLongestPoll);
+  while (!stopping_) turn(constants::kMaxPollWait);
 }
 
 void Loop::turn(Duration limit) {
@@ -80,7 +80,7 @@
 void Loop::take_events(Duration limit) {
   // Rounded up: waking a fraction of a millisecond early would only cost another turn.
   auto wait_ms = std::chrono::ceil<std::chrono::milliseconds>(limit).count();
-  std::array<epoll_event, limits::kEventsPerTurn> events;
+  std::array<epoll_event, constants::kMaxEventsPerTurn> events;
   int count =
       ::epoll_wait(epoll_fd_, events.data(), static_cast<int>(events.size()), static_cast<int>(wait_ms));
   now_ = Clock::now();
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -162,7 +162,7 @@
   ::setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   auto local = to_sockaddr(address);
   if (::bind(fd, reinterpret_cast<sockaddr*>(&local), sizeof local) != 0 ||
-      ::listen(fd, limits::kListenBacklog) != 0) {
+      ::listen(fd, constants::kListenBacklog) != 0) {
     int error = errno;
     ::close(fd);
     throw std::system_error(error, std::generic_category(), "listening on " + address.text());
--- a/src/peer/peer.cpp
+++ b/src/peer/peer.cpp
@@ -12,17 +12,17 @@
 namespace dockdyke::peer {
 
 template <class Archive>
-void serialize(Archive& archive, Forwarded& message) {
+void serialize(Archive& archive, ForwardedRequest& message) {
   archive(message.kind, message.job, message.body);
 }
 
 template <class Archive>
-void serialize(Archive& archive, ForwardAnswer& message) {
+void serialize(Archive& archive, ForwardedResponse& message) {
   archive(message.handled, message.status, message.retry_after_s, message.body);
 }
 
 template <class Archive>
-void serialize(Archive& archive, PolledJob& message) {
+void serialize(Archive& archive, PolledJobStatus& message) {
   archive(message.status, message.job.state, message.job.done, message.job.running);
 }
 
@@ -67,16 +67,16 @@
 
 }  // namespace
 
-std::optional<Forwarded> decode_forwarded(const std::string& bytes) {
-  return unpacked<Forwarded>(bytes);
+std::optional<ForwardedRequest> decode_forwarded(const std::string& bytes) {
+  return unpacked<ForwardedRequest>(bytes);
 }
-std::string encode(const Forwarded& message) {
+std::string encode(const ForwardedRequest& message) {
   return packed(message);
 }
-std::optional<ForwardAnswer> decode_answer(const std::string& bytes) {
-  return unpacked<ForwardAnswer>(bytes);
+std::optional<ForwardedResponse> decode_answer(const std::string& bytes) {
+  return unpacked<ForwardedResponse>(bytes);
 }
-std::string encode(const ForwardAnswer& message) {
+std::string encode(const ForwardedResponse& message) {
   return packed(message);
 }
 std::optional<std::vector<std::string>> decode_jobs(const std::string& bytes) {
@@ -85,10 +85,10 @@
 std::string encode(const std::vector<std::string>& jobs) {
   return packed(jobs);
 }
-std::optional<std::vector<PolledJob>> decode_polled(const std::string& bytes) {
-  return unpacked<std::vector<PolledJob>>(bytes);
+std::optional<std::vector<PolledJobStatus>> decode_polled(const std::string& bytes) {
+  return unpacked<std::vector<PolledJobStatus>>(bytes);
 }
-std::string encode(const std::vector<PolledJob>& polled) {
+std::string encode(const std::vector<PolledJobStatus>& polled) {
   return packed(polled);
 }
 std::optional<PeerStatus> decode_status(const std::string& bytes) {
@@ -98,18 +98,18 @@
   return packed(message);
 }
 
-ForwardAnswer to_answer(const net::HttpResponse& response) {
+ForwardedResponse to_answer(const net::HttpResponse& response) {
   return {true, response.status, response.retry_after_s.value_or(0), response.body};
 }
 
-net::HttpResponse to_response(ForwardAnswer answer) {
+net::HttpResponse to_response(ForwardedResponse answer) {
   net::HttpResponse response{answer.status, std::move(answer.body), std::nullopt};
   if (answer.retry_after_s > 0) response.retry_after_s = answer.retry_after_s;
   return response;
 }
 
 net::Task<std::optional<net::HttpResponse>> forward(net::Transport& transport, net::Address leader,
-                                                    Forwarded request, double timeout_s) {
+                                                    ForwardedRequest request, double timeout_s) {
   std::optional<std::string> body = co_await ask(transport, leader, kForwardPath, encode(request), timeout_s);
   if (!body) co_return std::nullopt;
   auto answer = decode_answer(*body);
@@ -117,30 +117,31 @@
   co_return to_response(*std::move(answer));
 }
 
-net::Task<std::optional<std::vector<PolledJob>>> poll(net::Transport& transport, net::Address leader,
-                                                      std::vector<JobId> jobs) {
+net::Task<std::optional<std::vector<PolledJobStatus>>> poll(net::Transport& transport, net::Address leader,
+                                                            std::vector<JobId> jobs) {
   std::vector<std::string> names;
   names.reserve(jobs.size());
   for (const auto& id : jobs) names.push_back(id.value);
   std::optional<std::string> body =
-      co_await ask(transport, leader, kPollPath, encode(names), limits::kAskLeaderTimeout);
+      co_await ask(transport, leader, kPollPath, encode(names), constants::kLeaderPollTimeout);
   if (!body) co_return std::nullopt;
   auto polled = decode_polled(*body);
   if (!polled || polled->size() != jobs.size()) co_return std::nullopt;
   co_return polled;
 }
 
-net::Task<void> tell_cancelled(net::Transport& transport, net::Address sibling, JobId job) {
+net::Task<void> notify_cancelled(net::Transport& transport, net::Address other, JobId job) {
   const std::vector<std::string> jobs{job.value};
-  co_await ask(transport, sibling, kCancelledPath, encode(jobs), limits::kPeerTimeout);
+  co_await ask(transport, other, kCancelledPath, encode(jobs), constants::kPeerCallTimeout);
 }
 
-net::Task<void> tell_write_limit(net::Transport& transport, net::Address sibling) {
-  co_await ask(transport, sibling, kWriteLimitPath, "?", limits::kPeerTimeout);
+net::Task<void> notify_write_limit(net::Transport& transport, net::Address other) {
+  co_await ask(transport, other, kWriteLimitPath, "?", constants::kPeerCallTimeout);
 }
 
-net::Task<std::optional<PeerStatus>> ask_status(net::Transport& transport, net::Address sibling) {
-  std::optional<std::string> body = co_await ask(transport, sibling, kStatusPath, "?", limits::kPeerTimeout);
+net::Task<std::optional<PeerStatus>> fetch_status(net::Transport& transport, net::Address other) {
+  std::optional<std::string> body =
+      co_await ask(transport, other, kStatusPath, "?", constants::kPeerCallTimeout);
   if (!body) co_return std::nullopt;
   co_return decode_status(*body);
 }
--- a/src/peer/peer.hpp
+++ b/src/peer/peer.hpp
@@ -16,13 +16,13 @@
 
 enum class RequestKind : std::uint8_t { submit, cancel };
 
-struct Forwarded {
+struct ForwardedRequest {
   RequestKind kind = RequestKind::submit;
   std::string job;   // of a cancellation
   std::string body;  // of a submission, as the user sent it
 };
 
-struct ForwardAnswer {
+struct ForwardedResponse {
   bool handled = false;  // false: not the leader
   std::int32_t status = 0;
   std::int32_t retry_after_s = 0;  // 0: none
@@ -30,7 +30,7 @@
 };
 
 // What the leader says of a job: the status of an answer to a poll, and what it would hold.
-struct PolledJob {
+struct PolledJobStatus {
   std::int32_t status = 0;  // 200, 404, or 503 where it can't tell
   wire::JobStatus job;
 };
@@ -50,31 +50,31 @@
 inline constexpr const char* kWriteLimitPath = "/peer/write-limit";
 
 // Nothing where the bytes are no such message. Jobs by name stand in questions and in news of cancellations.
-std::optional<Forwarded> decode_forwarded(const std::string& bytes);
-std::string encode(const Forwarded& message);
-std::optional<ForwardAnswer> decode_answer(const std::string& bytes);
-std::string encode(const ForwardAnswer& message);
+std::optional<ForwardedRequest> decode_forwarded(const std::string& bytes);
+std::string encode(const ForwardedRequest& message);
+std::optional<ForwardedResponse> decode_answer(const std::string& bytes);
+std::string encode(const ForwardedResponse& message);
 std::optional<std::vector<std::string>> decode_jobs(const std::string& bytes);
 std::string encode(const std::vector<std::string>& jobs);
-std::optional<std::vector<PolledJob>> decode_polled(const std::string& bytes);
-std::string encode(const std::vector<PolledJob>& polled);
+std::optional<std::vector<PolledJobStatus>> decode_polled(const std::string& bytes);
+std::string encode(const std::vector<PolledJobStatus>& polled);
 std::optional<PeerStatus> decode_status(const std::string& bytes);
 std::string encode(const PeerStatus& message);
 
-ForwardAnswer to_answer(const net::HttpResponse& response);
-net::HttpResponse to_response(ForwardAnswer answer);
+ForwardedResponse to_answer(const net::HttpResponse& response);
+net::HttpResponse to_response(ForwardedResponse answer);
 
 // Hands a request to the leader; nothing when it does not answer quickly or does not lead.
 net::Task<std::optional<net::HttpResponse>> forward(net::Transport& transport, net::Address leader,
-                                                    Forwarded request, double timeout_s);
+                                                    ForwardedRequest request, double timeout_s);
 // The leader's word on these jobs, in their order; nothing when it does not answer quickly or does not lead.
-net::Task<std::optional<std::vector<PolledJob>>> poll(net::Transport& transport, net::Address leader,
-                                                      std::vector<JobId> jobs);
+net::Task<std::optional<std::vector<PolledJobStatus>>> poll(net::Transport& transport, net::Address leader,
+                                                            std::vector<JobId> jobs);
 // Tells of a cancellation that is on record. Nothing rests on its arrival.
-net::Task<void> tell_cancelled(net::Transport& transport, net::Address sibling, JobId job);
+net::Task<void> notify_cancelled(net::Transport& transport, net::Address other, JobId job);
 // Tells that the state service has put its announced lower limit of writes in force. Nothing rests on its
 // arrival.
-net::Task<void> tell_write_limit(net::Transport& transport, net::Address sibling);
-net::Task<std::optional<PeerStatus>> ask_status(net::Transport& transport, net::Address sibling);
+net::Task<void> notify_write_limit(net::Transport& transport, net::Address other);
+net::Task<std::optional<PeerStatus>> fetch_status(net::Transport& transport, net::Address other);
 
 }  // namespace dockdyke::peer
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -37,23 +37,23 @@
   // Called when something else showed that the token has been overtaken.
   void step_down();
   // Gives the lead up for another controller to take, and leaves it alone for a while.
-  void hand_on();
-  bool leading() const { return held_.has_value(); }
+  void resign();
+  bool leading() const { return held_responses_.has_value(); }
 
  private:
-  net::Task<void> follow();
-  net::Task<void> lead();
+  net::Task<void> follow_leader();
+  net::Task<void> renew_leadership();
   // Replaces the key at `version` (0: no key) by ours.
-  net::Task<void> stand(Revision version);
-  void take_office(Leadership leadership, net::TimePoint asked_at);
+  net::Task<void> campaign(Revision version);
+  void become_leader(Leadership leadership, net::TimePoint asked_at);
 
   net::Loop& loop_;
   StateClient& state_;
   std::string host_;
   Listener listener_;
-  std::optional<Leadership> held_;
+  std::optional<Leadership> held_responses_;
   net::WakeUp wake_;
-  net::TimePoint rests_until_;  // after handing on
+  net::TimePoint abstain_until_;  // after handing on
 };
 
 }  // namespace dockdyke::store
--- a/src/store/rate_budget.cpp
+++ b/src/store/rate_limiter.cpp
@@ -1,41 +1,41 @@
-#include "store/rate_budget.hpp"
+#include "store/rate_limiter.hpp"
 
 #include <algorithm>
 
 namespace dockdyke::store {
 
-RateBudget::RateBudget(net::Loop& loop, double per_second)
+RateLimiter::RateLimiter(net::Loop& loop, double per_second)
     : loop_(loop), rate_(per_second), tokens_(per_second), filled_at_(loop.now()) {}
 
-void RateBudget::set_rate(double per_second) {
+void RateLimiter::set_rate(double per_second) {
   refill();
   rate_ = per_second;
   tokens_ = std::min(tokens_, rate_);
 }
 
-void RateBudget::refill() {
+void RateLimiter::refill() {
   const double passed = std::chrono::duration<double>(loop_.now() - filled_at_).count();
   tokens_ = std::min(rate_, tokens_ + passed * rate_);  // the services allow bursts of one second's worth
   filled_at_ = loop_.now();
 }
 
-bool RateBudget::affordable(double cost) const {
+bool RateLimiter::affordable(double cost) const {
   // A cost above a whole second's worth could never be saved up, so a full bucket is enough for it.
   return tokens_ >= std::min(cost, rate_);
 }
 
-double RateBudget::backlog_s() const {
+double RateLimiter::backlog_s() const {
   double cost = 0;
   for (const auto& [place, waiting] : line_) cost += waiting.cost;
   return cost / rate_;
 }
 
-void RateBudget::charge(double cost) {
+void RateLimiter::charge(double cost) {
   refill();
   tokens_ -= cost;
 }
 
-net::Task<bool> RateBudget::take(double cost, Urgency urgency, net::TimePoint deadline) {
+net::Task<bool> RateLimiter::take(double cost, RequestPriority urgency, net::TimePoint deadline) {
   refill();
   if (line_.empty() && affordable(cost)) {
     tokens_ -= cost;
@@ -50,7 +50,7 @@
   co_return answer.has_value();
 }
 
-void RateBudget::serve_line() {
+void RateLimiter::serve_line() {
   refill();
   while (!line_.empty() && affordable(line_.begin()->second.cost)) {
     auto first = line_.begin();
--- a/src/store/rate_budget.hpp
+++ b/src/store/rate_limiter.hpp
@@ -10,15 +10,15 @@
 
 namespace dockdyke::store {
 
-enum class Urgency { high, normal, background };
+enum class RequestPriority { high, normal, background };
 
-class RateBudget {
+class RateLimiter {
  public:
-  RateBudget(net::Loop& loop, double per_second);
+  RateLimiter(net::Loop& loop, double per_second);
 
   void set_rate(double per_second);
   // Takes `cost` or waits for it; false when the deadline passed first.
-  net::Task<bool> take(double cost, Urgency urgency, net::TimePoint deadline);
+  net::Task<bool> take(double cost, RequestPriority urgency, net::TimePoint deadline);
   // Takes at once and may overdraw: for renewals, which must never stand in line.
   void charge(double cost);
   std::size_t waiting() const { return line_.size(); }
@@ -30,7 +30,7 @@
     double cost;
     net::OneShot<bool> granted;
   };
-  using Place = std::pair<Urgency, std::uint64_t>;
+  using Place = std::pair<RequestPriority, std::uint64_t>;
 
   void refill();
   bool affordable(double cost) const;
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -68,15 +68,15 @@
 void StateClient::note_write_refusal() {
   if (write_limit_lowered_) return;
   write_refusals_.push_back(loop_.now());
-  while (loop_.now() - write_refusals_.front() > net::seconds(limits::kRateRefusalWindow))
+  while (loop_.now() - write_refusals_.front() > net::seconds(constants::kRateLimitRefusalWindow))
     write_refusals_.pop_front();
-  if (write_refusals_.size() < limits::kRateRefusals) return;
+  if (write_refusals_.size() < constants::kRateLimitRefusalThreshold) return;
   lower_write_limit();
   if (write_limit_lowered_ && on_write_limit_seen_) on_write_limit_seen_();
 }
 
-bool StateClient::backed_up() const {
-  return requests_.waiting() + writes_.waiting() >= limits::kBudgetQueue;
+bool StateClient::saturated() const {
+  return requests_.waiting() + writes_.waiting() >= constants::kRateLimiterQueueLimit;
 }
 
 void StateClient::note(bool answered) {
@@ -87,8 +87,8 @@
   }
 }
 
-bool StateClient::suspect() const {
-  return failing_since_ && loop_.now() - *failing_since_ > net::seconds(limits::kStateSuspect);
+bool StateClient::unreachable() const {
+  return failing_since_ && loop_.now() - *failing_since_ > net::seconds(constants::kStateUnreachableAfter);
 }
 
 net::Task<StateClient::Reply> StateClient::call(std::string method, std::string target, std::string body,
@@ -117,9 +117,9 @@
 }
 
 net::Task<Result<wire::KeyValue>> StateClient::get(std::string key, net::TimePoint deadline) {
-  const bool granted = co_await requests_.take(1, Urgency::normal, deadline);
+  const bool granted = co_await requests_.take(1, RequestPriority::normal, deadline);
   if (!granted) co_return Result<wire::KeyValue>{Outcome::refused, {}};
-  const auto timeout = std::min(net::seconds(limits::kStateTimeout), deadline - loop_.now());
+  const auto timeout = std::min(net::seconds(constants::kStateCallTimeout), deadline - loop_.now());
   Reply reply = co_await call("GET", wire::path::key(key), {}, timeout);
   co_return parsed<wire::KeyValue>(reply.outcome, reply.body, wire::parse_key_value);
 }
@@ -129,10 +129,11 @@
   std::string after;
   bool more = true;
   while (more) {
-    const bool granted = co_await requests_.take(1, Urgency::high, in(limits::kBackgroundPatience));
+    const bool granted =
+        co_await requests_.take(1, RequestPriority::high, in(constants::kBackgroundCallTimeout));
     if (!granted) co_return Result<wire::KeyPage>{Outcome::refused, {}};
-    Reply reply = co_await call("GET", wire::path::key_page(prefix, after, limits::kListPage), {},
-                                net::seconds(limits::kStateTimeout));
+    Reply reply = co_await call("GET", wire::path::key_page(prefix, after, constants::kListPageSize), {},
+                                net::seconds(constants::kStateCallTimeout));
     auto page = parsed<wire::KeyPage>(reply.outcome, reply.body, wire::parse_key_page);
     if (!page) co_return page;
     if (after.empty()) all.value.revision = page.value.revision;
@@ -143,7 +144,7 @@
   co_return all;
 }
 
-net::Task<Result<Committed>> StateClient::commit(wire::Transaction transaction, Urgency urgency,
+net::Task<Result<Committed>> StateClient::commit(wire::Transaction transaction, RequestPriority urgency,
                                                  net::TimePoint deadline) {
   const auto changes = static_cast<double>(transaction.puts.size() + transaction.deletions.size());
   // One that only compares changes nothing: in line with the writes, questions about jobs went unanswered for
@@ -153,8 +154,8 @@
   if (granted) granted = co_await requests_.take(1, urgency, deadline);
   if (!granted) co_return Result<Committed>{Outcome::refused, {}};
   const std::string body = wire::encode(wire::to_json(transaction));
-  Reply reply =
-      co_await call("POST", std::string(wire::path::kTransaction), body, net::seconds(limits::kStateTimeout));
+  Reply reply = co_await call("POST", std::string(wire::path::kTransaction), body,
+                              net::seconds(constants::kStateCallTimeout));
   if (reply.over_limit && changes > 0) note_write_refusal();
   if (reply.outcome == Outcome::conflict) {
     Result<Committed> result{Outcome::conflict, {}};
@@ -171,32 +172,33 @@
 }
 
 net::Task<Result<wire::KeyEvents>> StateClient::watch(std::string prefix, Revision after, double wait_s) {
-  const bool granted = co_await requests_.take(1, Urgency::high, in(limits::kBudgetPatience));
+  const bool granted =
+      co_await requests_.take(1, RequestPriority::high, in(constants::kRateLimitWaitTimeout));
   if (!granted) co_return Result<wire::KeyEvents>{Outcome::refused, {}};
   const auto wait_ms = static_cast<std::uint64_t>(wait_s * 1000);
   Reply reply = co_await call("GET", wire::path::watch(prefix, after, wait_ms), {},
-                              net::seconds(wait_s + limits::kStateTimeout));
+                              net::seconds(wait_s + constants::kStateCallTimeout));
   co_return parsed<wire::KeyEvents>(reply.outcome, reply.body, wire::parse_key_events);
 }
 
 net::Task<Result<LeaseId>> StateClient::grant(std::uint64_t ttl_ms) {
   requests_.charge(1);
   const std::string body = wire::encode(wire::lease_request(ttl_ms));
-  Reply reply =
-      co_await call("POST", std::string(wire::path::kLeases), body, net::seconds(limits::kStateTimeout));
+  Reply reply = co_await call("POST", std::string(wire::path::kLeases), body,
+                              net::seconds(constants::kStateCallTimeout));
   co_return parsed<LeaseId>(reply.outcome, reply.body, wire::parse_lease);
 }
 
 net::Task<Outcome> StateClient::renew(LeaseId lease) {
   requests_.charge(1);
-  Reply reply =
-      co_await call("POST", wire::path::lease_renewal(lease), {}, net::seconds(limits::kRenewTimeout));
+  Reply reply = co_await call("POST", wire::path::lease_renewal(lease), {},
+                              net::seconds(constants::kLeaseRenewalTimeout));
   co_return reply.outcome;
 }
 
 net::Task<void> StateClient::revoke(LeaseId lease) {
   requests_.charge(1);
-  co_await call("DELETE", wire::path::lease(lease), {}, net::seconds(limits::kRenewTimeout));
+  co_await call("DELETE", wire::path::lease(lease), {}, net::seconds(constants::kLeaseRenewalTimeout));
 }
 
 }  // namespace dockdyke::store
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -12,7 +12,7 @@
 #include "net/http_client.hpp"
 #include "net/loop.hpp"
 #include "net/task.hpp"
-#include "store/rate_budget.hpp"
+#include "store/rate_limiter.hpp"
 #include "wire/messages.hpp"
 
 namespace dockdyke::store {
@@ -65,7 +65,7 @@
   net::Task<Result<wire::KeyValue>> get(std::string key, net::TimePoint deadline);
   // Reads every key with the prefix, page after page. The revision is that of the first page.
   net::Task<Result<wire::KeyPage>> list(std::string prefix);
-  net::Task<Result<Committed>> commit(wire::Transaction transaction, Urgency urgency,
+  net::Task<Result<Committed>> commit(wire::Transaction transaction, RequestPriority urgency,
                                       net::TimePoint deadline);
   net::Task<Result<wire::KeyEvents>> watch(std::string prefix, Revision after, double wait_s);
 
@@ -76,9 +76,9 @@
   net::Task<void> revoke(LeaseId lease);
 
   // True when calls have been failing for a while and none has succeeded since.
-  bool suspect() const;
+  bool unreachable() const;
   // True while calls stand in line for budget: the stage before should take no more.
-  bool backed_up() const;
+  bool saturated() const;
   // Seconds for which writes stand in line.
   double write_backlog_s() const { return writes_.backlog_s(); }
 
@@ -97,8 +97,8 @@
   net::Transport& transport_;
   net::Address service_;
   Limits limits_;
-  RateBudget requests_;
-  RateBudget writes_;
+  RateLimiter requests_;
+  RateLimiter writes_;
   std::optional<net::TimePoint> failing_since_;
   double write_share_ = 1;
   bool write_limit_lowered_ = false;
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -36,7 +36,7 @@
   }
 
   bool items(std::optional<std::size_t> count, bool map, int depth) {
-    if (!count || depth >= limits::kMaxDepth) return false;
+    if (!count || depth >= constants::kMaxNestingDepth) return false;
     for (std::size_t i = 0; i < *count; ++i) {
       if (map && !key()) return false;
       if (!value(depth + 1)) return false;
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -65,12 +65,13 @@
 }
 
 std::string checked_name(std::string text, const char* field) {
-  if (text.empty() || text.size() > limits::kMaxName) throw Malformed(std::string("invalid name: ") + field);
+  if (text.empty() || text.size() > constants::kMaxNameLength)
+    throw Malformed(std::string("invalid name: ") + field);
   return text;
 }
 
 double checked_amount(double amount, const char* field) {
-  if (amount > limits::kMaxAmount) throw Malformed(std::string("too large: ") + field);
+  if (amount > constants::kMaxAmount) throw Malformed(std::string("too large: ") + field);
   return amount;
 }
 
@@ -155,7 +156,7 @@
   spec.kind = require_enum(body, "shape", kJobKinds);
   spec.priority = require_enum(body, "urgency", kPriorities);
   auto tasks = require_count(body, "pieces");
-  if (tasks == 0 || tasks > limits::kMaxTasks) throw Malformed("out of range: pieces");
+  if (tasks == 0 || tasks > constants::kMaxTasksPerJob) throw Malformed("out of range: pieces");
   spec.task_count = static_cast<TaskIndex>(tasks);
   spec.task_resources = {bounded_amount(body, "vcpus"), bounded_amount(body, "gpus"),
                          bounded_amount(body, "ram_gb")};
--- a/tests/stored_formats_test.cpp
+++ b/tests/stored_formats_test.cpp
@@ -3,7 +3,7 @@
 // it and, for jobs without gangs, write the same.
 #include <gtest/gtest.h>
 
-#include "core/records.hpp"
+#include "core/stored_records.hpp"
 #include "peer/peer.hpp"
 
 namespace dockdyke::testing {
