--- a/src/app/cancellation_handler.hpp
+++ b/src/app/cancellation_handler.hpp
@@ -14,6 +14,7 @@
 
 namespace dockdyke::app {
 
+// A cancellation is stored before it is confirmed; a conflict with a write of the leader is retried.
 class CancellationHandler {
  public:
   CancellationHandler(net::Loop& loop, store::StateClient& state, const core::ClusterConfig& config,
--- a/src/app/effect_executor.hpp
+++ b/src/app/effect_executor.hpp
@@ -9,6 +9,7 @@
 
 namespace dockdyke::app {
 
+// Every effect is a detached task of the term; it is repeated until its outcome is known.
 class EffectExecutor {
  public:
   EffectExecutor(TermContext& context, GuardedWriter& writer, KeyDeleter& deleter);
--- a/src/app/event_queue.hpp
+++ b/src/app/event_queue.hpp
@@ -9,6 +9,7 @@
 
 namespace dockdyke::app {
 
+// Unbounded: what pushes events is bounded itself.
 class EventQueue {
  public:
   explicit EventQueue(net::Loop& loop) : wake_up_(loop) {}
--- a/src/app/guarded_writer.hpp
+++ b/src/app/guarded_writer.hpp
@@ -10,6 +10,7 @@
 
 namespace dockdyke::app {
 
+// Writes are repeated until their outcome is known.
 class GuardedWriter {
  public:
   explicit GuardedWriter(TermContext& context);
--- a/src/app/heartbeat_handler.hpp
+++ b/src/app/heartbeat_handler.hpp
@@ -16,6 +16,7 @@
 
 namespace dockdyke::app {
 
+// At most constants::kHeartbeatQueueLimit heartbeats are queued; one more gets 503.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(TermContext& context, core::Cluster& cluster, const ViewFreshness& freshness,
--- a/src/app/job_feasibility.hpp
+++ b/src/app/job_feasibility.hpp
@@ -7,6 +7,7 @@
 
 namespace dockdyke::app {
 
+// Decides by teams, quotas and the catalog alone; whether there is capacity now does not matter.
 class JobFeasibility {
  public:
   JobFeasibility(const core::ClusterConfig& config, const MachineTypeCatalog& catalog);
--- a/src/app/job_reader.hpp
+++ b/src/app/job_reader.hpp
@@ -22,8 +22,10 @@
   Revision active_version;
 };
 
+// Whether a job in this state never changes again.
 bool is_terminal(wire::JobState state);
 
+// Terminal states that it reads are cached.
 class JobReader {
  public:
   JobReader(store::StateClient& state, const LeadershipState& leadership, TerminalJobCache& terminal_jobs);
--- a/src/app/job_status_reader.hpp
+++ b/src/app/job_status_reader.hpp
@@ -15,6 +15,7 @@
 
 namespace dockdyke::app {
 
+// On the leader one transaction without changes compares the records of many active jobs with its state.
 class JobStatusReader {
  public:
   JobStatusReader(net::Loop& loop, store::StateClient& state, const core::ClusterConfig& config,
--- a/src/app/leader_forwarder.hpp
+++ b/src/app/leader_forwarder.hpp
@@ -16,6 +16,7 @@
 
 namespace dockdyke::app {
 
+// Forwards nothing for a while after several timeouts in a row.
 class LeaderForwarder {
  public:
   LeaderForwarder(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -119,7 +119,8 @@
                tasks.running);
   const auto fleet = cluster_.count();
   spdlog::info(
-      "event=fleet machines={} booting={} overwhelmed={} underwhelmed={} free={} waiting_tasks={} jobs={} "
+      "event=fleet machines={} booting={} saturated={} scale_in_candidates={} free={} waiting_tasks={} "
+      "jobs={} "
       "staleness_s={:.1f}",
       fleet.machines, fleet.booting, fleet.overwhelmed, fleet.underwhelmed, fleet.free, fleet.waiting_tasks,
       cluster_.jobs(), freshness_.staleness_s());
--- a/src/app/logging.hpp
+++ b/src/app/logging.hpp
@@ -1,11 +1,11 @@
-// One-line logs on standard error.
+// Logs of one line an event on standard error; docs/log-events.md lists the events.
 #pragma once
 
 #include <string>
 
 namespace dockdyke::app {
 
-// Takes `error`, `info` or `debug`; false for anything else.
+// Sets the level: `error`, `info` or `debug`. For anything else it is `error`, and the result is false.
 bool start_logging(const std::string& level);
 
 }  // namespace dockdyke::app
--- a/src/app/machine_type_refresher.hpp
+++ b/src/app/machine_type_refresher.hpp
@@ -12,6 +12,7 @@
 
 namespace dockdyke::app {
 
+// Runs on every controller. The leader also stores the types, once.
 class MachineTypeRefresher {
  public:
   MachineTypeRefresher(net::Loop& loop, cloud::CloudClient& cloud, store::StateClient& state,
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,3 +1,4 @@
+// The controller process: flags, settings, logs and the event loop.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdlib>
@@ -13,7 +14,8 @@
 
 namespace {
 
-constexpr int kBadSettings = 2;  // exit status that tells a wrong start from a crash
+// Exit status that tells a wrong start from a crash.
+constexpr int kExitBadSettings = 2;
 
 }  // namespace
 
@@ -54,7 +56,7 @@
     loop.run();
   } catch (const app::SettingsError& error) {
     std::cerr << "dockdyke: " << error.what() << '\n';
-    return kBadSettings;
+    return kExitBadSettings;
   } catch (const std::exception& error) {
     std::cerr << "dockdyke: " << error.what() << '\n';
     return EXIT_FAILURE;
--- a/src/app/peer_monitor.hpp
+++ b/src/app/peer_monitor.hpp
@@ -14,6 +14,7 @@
 
 namespace dockdyke::app {
 
+// While the state service responds, it checks instead whether workers reach this leader.
 class PeerMonitor {
  public:
   PeerMonitor(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
--- a/src/app/peer_notifier.hpp
+++ b/src/app/peer_notifier.hpp
@@ -9,6 +9,7 @@
 
 namespace dockdyke::app {
 
+// Each message is a detached call; the transport and the list of peers outlive it.
 class PeerNotifier {
  public:
   PeerNotifier(net::Transport& transport, const std::vector<PeerController>& peers);
--- a/src/app/peer_routes.hpp
+++ b/src/app/peer_routes.hpp
@@ -13,6 +13,7 @@
 
 namespace dockdyke::app {
 
+// A follower handles neither polls nor forwarded requests.
 class PeerRoutes {
  public:
   PeerRoutes(const store::StateClient& state, const LeadershipState& leadership, const WorkerRoutes& workers,
--- a/src/app/poll_batcher.hpp
+++ b/src/app/poll_batcher.hpp
@@ -24,6 +24,7 @@
   std::function<net::Task<std::vector<peer::PolledJobStatus>>(std::vector<JobId>)> read_job_statuses;
 };
 
+// The number of queued polls is bounded by constants::kPollQueueLimit.
 class PollBatcher {
  public:
   PollBatcher(net::Loop& loop, JobStatusSources sources);
--- a/src/app/rate_share_manager.hpp
+++ b/src/app/rate_share_manager.hpp
@@ -9,6 +9,7 @@
 
 namespace dockdyke::app {
 
+// The leader has the larger share; the followers split what they may use among them.
 class RateShareManager {
  public:
   // Listens to `state` for the announced lower limit of writes. Must outlive the calls of `state`.
--- a/src/app/record_loader.hpp
+++ b/src/app/record_loader.hpp
@@ -19,6 +19,7 @@
   Revision revision;
 };
 
+// Malformed records are logged and skipped.
 class RecordLoader {
  public:
   explicit RecordLoader(TermContext& context);
--- a/src/app/record_watcher.hpp
+++ b/src/app/record_watcher.hpp
@@ -12,6 +12,7 @@
 
 namespace dockdyke::app {
 
+// A completed watch proves the view of the cluster fresh.
 class RecordWatcher {
  public:
   RecordWatcher(TermContext& context, const core::Cluster& cluster, ViewFreshness& freshness);
--- a/src/app/response_holds.hpp
+++ b/src/app/response_holds.hpp
@@ -12,6 +12,7 @@
 
 namespace dockdyke::app {
 
+// A response waits for a write that allows more commands, or, where the machine has room, for work.
 class ResponseHolds {
  public:
   // At most `max_held` responses wait for work at the same time.
--- a/src/app/state_writer.hpp
+++ b/src/app/state_writer.hpp
@@ -14,6 +14,7 @@
 
 namespace dockdyke::app {
 
+// At most constants::kMaxWritesInFlight writes are in flight.
 class StateWriter {
  public:
   // A job's completion is stored.
--- a/src/app/status_poll_handler.hpp
+++ b/src/app/status_poll_handler.hpp
@@ -14,6 +14,7 @@
 
 namespace dockdyke::app {
 
+// All polls of this controller go through one batcher.
 class StatusPollHandler {
  public:
   StatusPollHandler(net::Loop& loop, TerminalJobCache& terminal_jobs, LeaderForwarder& forwarder,
--- a/src/app/submission_handler.hpp
+++ b/src/app/submission_handler.hpp
@@ -18,6 +18,7 @@
 
 namespace dockdyke::app {
 
+// At most constants::kMaxSubmissionsInFlight submissions are handled at once; one more gets 503.
 class SubmissionHandler {
  public:
   SubmissionHandler(net::Loop& loop, store::StateClient& state, const core::ClusterConfig& config,
--- a/src/app/term_context.hpp
+++ b/src/app/term_context.hpp
@@ -25,6 +25,7 @@
   std::size_t max_held_responses;  // to workers at the same time, as far as connections allow
 };
 
+// Owned by the term. Parts refer to it and never to each other's fields.
 class TermContext {
  public:
   // `on_superseded` is called when something shows that a newer leader exists.
--- a/src/app/user_routes.hpp
+++ b/src/app/user_routes.hpp
@@ -14,6 +14,7 @@
 
 namespace dockdyke::app {
 
+// On a follower, submissions and cancellations are forwarded to the leader first.
 class UserRoutes {
  public:
   UserRoutes(const MachineTypeCatalog& catalog, const PeerMonitor& peers, LeaderForwarder& forwarder,
--- a/src/app/worker_routes.hpp
+++ b/src/app/worker_routes.hpp
@@ -12,6 +12,7 @@
 
 namespace dockdyke::app {
 
+// Only the leader responds with 200.
 class WorkerRoutes {
  public:
   // `own_host`: this controller's host name.
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// The platform's settings file.
+// Parsing of the platform's settings file.
 #include "app/settings.hpp"
 
 #include <gtest/gtest.h>
