--- a/src/peer/peer_messages.hpp
+++ b/src/peer/peer_messages.hpp
@@ -1,7 +1,7 @@
 // Messages between controllers, encoded with cereal's portable binary archive.
 //
 // Their bytes are a protocol of their own: controllers of two versions run side by side during an upgrade, so
-// that fields are neither reordered nor added (tests/stored_formats_test.cpp pins them).
+// that fields are neither reordered nor added (tests/core/stored_formats_test.cpp pins them).
 #pragma once
 
 #include <cstdint>
--- a/tests/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -1,4 +1,4 @@
-// Stories about serving well: where tasks go, which machines are rented, kept and returned.
+// Scenarios about serving well: where tasks go, which machines are rented, kept and returned.
 #include "cluster_fixture.hpp"
 #include "constants.hpp"
 
--- a/tests/safety_test.cpp
+++ b/tests/core/safety_test.cpp
@@ -1,4 +1,4 @@
-// Stories about what must never happen: a task twice, a result lost, a cancelled task left running.
+// Scenarios about what must never happen: a task twice, a result lost, a cancelled task left running.
 #include "cluster_fixture.hpp"
 
 namespace dockdyke::testing {
@@ -48,7 +48,7 @@
 }
 
 TEST_F(SafetyTest, AdoptedTaskThatItsWorkersNextSessionLacksGoesElsewhere) {
-  // Found by random troubles: our answers did not reach the worker for longer than its lease, its reports
+  // Found by random faults: our answers did not reach the worker for longer than its lease, its reports
   // went on. The task was not inherited any more and had never been sent by us, and counted as running there
   // for ever.
   inherit(job_spec("job-1", 1), {{0, 1, MachineId("n-1"), false}});
@@ -67,7 +67,7 @@
 }
 
 TEST_F(SafetyTest, StoppedTaskWhoseStartNeverWentOutGivesItsPlaceUp) {
-  // Found by random troubles: in an outage its record waits, more urgent work has it stopped, and no report
+  // Found by random faults: in an outage its record waits, more urgent work has it stopped, and no report
   // can ever show it gone, since it never was anywhere.
   loaded();
   auto worker = ready_worker("n-1");
@@ -196,7 +196,7 @@
 }
 
 TEST_F(SafetyTest, CopyOfAJobCancelledBeforeItWasHeardOfIsRemovedOnce) {
-  // Found by random troubles: news of the cancellation came first, and the copy stayed in the store for ever.
+  // Found by random faults: news of the cancellation came first, and the copy stayed in the store for ever.
   loaded();
   cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
   cluster.apply(JobRecordRemoved{JobId("job-1")}, now);  // by the watch, too
--- a/tests/simulated_older_version.cpp
+++ b/tests/support/simulated_older_version.cpp
@@ -1,4 +1,4 @@
-// A model of the version in production (before gangs and lowered limits), for stories in which both serve.
+// A model of the version in production (before gangs and lowered limits), for scenarios in which both serve.
 //
 // It is today's controller behind a filter that takes from it what the earlier one does not have: gangs are
 // malformed to it wherever they appear, their records are not listed, a report with a gang's words is
--- a/tests/wire_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -1,4 +1,6 @@
 // Encoding of bodies, and messages that are valid, malformed or from a later version.
+#include "wire/messages.hpp"
+
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -8,7 +10,6 @@
 #include <vector>
 
 #include "cluster_fixture.hpp"
-#include "wire/messages.hpp"
 
 namespace dockdyke::testing {
 
