--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -36,8 +36,8 @@
     if (job.outcome != Outcome::ok) co_return service_unavailable();
     if (is_terminal(job.status.state) || !job.active_record)
       co_return json_response(http_status::kOk, wire::job_response(id, job.status.state));
-    auto transaction = core::cancellation(*job.active_record, job.active_version, job.status.done,
-                                          loop_.time_of_day_ms(), config_.max_value_bytes);
+    auto transaction = core::cancellation_transaction(*job.active_record, job.active_version, job.status.done,
+                                                      loop_.time_of_day_ms(), config_.max_value_bytes);
     store::Result<store::Committed> committed =
         co_await state_.commit(std::move(transaction), store::RequestPriority::high, deadline);
     if (committed) {
@@ -55,7 +55,7 @@
   spdlog::info("event=cancellation_confirmed id={} leading={}", id.value, leadership_.leading());
   terminal_jobs_.insert(id, {JobState::cancelled, done_count, 0});
   if (leadership_.leading()) {
-    leadership_.term()->push(core::JobRecordRemoved{id});
+    leadership_.term()->push(core::JobRecordDeleted{id});
   } else {
     peers_.job_cancelled(id);
   }
--- a/src/app/cancellation_log.cpp
+++ b/src/app/cancellation_log.cpp
@@ -29,7 +29,7 @@
           "event=cancellation_known token={} id={} time_left_s={:.1f} tasks={} machines={} first={} "
           "unheard_s={:.1f}",
           token_.value, report.job.value, report.time_left_s, report.tasks, report.machines,
-          report.machine.value, report.unheard_s);
+          report.machine.value, report.time_since_heartbeat_s);
       break;
     case CancellationReport::Kind::stop_sent:
       spdlog::info(
@@ -43,7 +43,7 @@
           "event=cancellation_at_risk token={} id={} time_left_s={:.1f} tasks={} machines={} first={} "
           "unheard_s={:.1f} token_acknowledged={} stops_sent={} deletion_requested={}",
           token_.value, report.job.value, report.time_left_s, report.tasks, report.machines,
-          report.machine.value, report.unheard_s, report.token_acknowledged, report.stops_sent,
+          report.machine.value, report.time_since_heartbeat_s, report.token_acknowledged, report.stops_sent,
           report.deletion_requested);
       break;
     case CancellationReport::Kind::ended:
--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -38,7 +38,7 @@
 net::Task<void> EffectExecutor::scale_out(core::RequestScaleOut effect) {
   const auto& request = effect.request;
   const std::string key = core::key::kScaleOutPrefix + request.id.value;
-  if (!effect.recorded) {
+  if (!effect.persisted) {
     // Ahead of other writes: a day's first scale-outs were queued behind its first submissions for 5 s.
     const bool written = co_await writer_.insert(key, wire::to_json(request), RequestPriority::high);
     if (!written) co_return;
@@ -64,7 +64,7 @@
 
 net::Task<void> EffectExecutor::scale_in(core::RequestScaleIn effect) {
   const auto requested_at = context_.now();
-  if (!effect.recorded) {
+  if (!effect.persisted) {
     const bool written =
         co_await writer_.insert(effect.key, wire::machine_names(effect.machines), RequestPriority::normal);
     if (!written) co_return;
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -133,8 +133,8 @@
       "event=fleet machines={} booting={} saturated={} scale_in_candidates={} free={} waiting_tasks={} "
       "jobs={} "
       "staleness_s={:.1f}",
-      fleet.machines, fleet.booting, fleet.overwhelmed, fleet.underwhelmed, fleet.free, fleet.waiting_tasks,
-      state_machine_.jobs(), freshness_.staleness_s());
+      fleet.machines, fleet.booting, fleet.saturated, fleet.scale_in_candidates, fleet.free,
+      fleet.waiting_tasks, state_machine_.jobs(), freshness_.staleness_s());
   spdlog::info("event=state_writes task_log_segments={} in_flight={} held_responses={}",
                state_machine_.task_log_segments(), state_writer_.in_flight(), holds_.size());
   log_state_view();
--- a/src/app/peer_routes.cpp
+++ b/src/app/peer_routes.cpp
@@ -67,7 +67,7 @@
   auto names = peer::decode_jobs(request.body);
   if (!names) return empty_response(http_status::kBadRequest);
   if (leadership_.leading())
-    for (auto& name : *names) leadership_.term()->push(core::JobRecordRemoved{JobId(std::move(name))});
+    for (auto& name : *names) leadership_.term()->push(core::JobRecordDeleted{JobId(std::move(name))});
   return empty_response(http_status::kOk);
 }
 
--- a/src/app/record_watcher.cpp
+++ b/src/app/record_watcher.cpp
@@ -41,7 +41,7 @@
   for (const auto& change : changes.events) {
     const JobId id(change.key.substr(core::key::kActivePrefix.size()));
     if (!change.value) {
-      context_.events().push(core::JobRecordRemoved{id});
+      context_.events().push(core::JobRecordDeleted{id});
     } else if (!state_machine_.job(id)) {
       // This leader's own writes come back here too; only records of unknown jobs are parsed.
       push_submission(change.key, *change.value, change.version);
@@ -69,7 +69,7 @@
         co_await context_.state().get(core::key::active_job(id), context_.background_deadline());
     if (record) co_return;
     if (record.outcome == Outcome::missing) {
-      context_.events().push(core::JobRecordRemoved{id});
+      context_.events().push(core::JobRecordDeleted{id});
       co_return;
     }
     co_await context_.retry_delay();
--- a/src/app/state_writer.cpp
+++ b/src/app/state_writer.cpp
@@ -77,13 +77,13 @@
   spdlog::debug(
       "event=job_completed id={} class={} tasks={} estimated_run_s={:.0f} submitted_s={:.1f} "
       "duration_s={:.1f}",
-      id.value, job->spec.job_class, job->spec.task_count, job->spec.estimated_run_s, job->submitted,
-      context_.now() - job->submitted);
+      id.value, job->spec.job_class, job->spec.task_count, job->spec.estimated_run_s, job->submitted_at,
+      context_.now() - job->submitted_at);
   if (job->is_gang())
     spdlog::debug(
         "event=gang_completed id={} attempts={} machines={} assigned_after_s={:.2f} started_after_s={:.2f}",
-        id.value, job->gang.attempt, job->gang.machine_count, job->gang.assigned_at - job->submitted,
-        job->gang.started_at - job->submitted);
+        id.value, job->gang.attempt, job->gang.machine_count, job->gang.assigned_at - job->submitted_at,
+        job->gang.started_at - job->submitted_at);
   on_job_completed_(id, {wire::JobState::done, job->done_count, 0});
 }
 
--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -22,7 +22,7 @@
 std::size_t Autoscaler::fleet_size() const {
   const auto& machines = state_.machines();
   const auto present = std::count_if(machines.begin(), machines.end(), [](const auto& each) {
-    return !each.second.scale_in_requested && each.second.state != MachineState::gone;
+    return !each.second.scale_in_requested && each.second.state != MachineState::failed;
   });
   return static_cast<std::size_t>(present) + scale_out_.pending_machines();
 }
@@ -166,7 +166,7 @@
   summary_.machines = fleet_size();
   std::vector<const Machine*> idle;
   for (const auto& [id, machine] : state_.machines()) {
-    if (machine.scale_in_requested || machine.state == MachineState::gone) continue;
+    if (machine.scale_in_requested || machine.state == MachineState::failed) continue;
     if (machine.state == MachineState::booting) {
       summary_.booting += constraints_.boots_late(machine, now) ? 0 : 1;
       continue;
@@ -175,7 +175,7 @@
     if (machine.assignments.empty()) {
       idle.push_back(&machine);
     } else if (load_of(machine) >= constants::kNearlyDoneProgress) {
-      ++summary_.overwhelmed;
+      ++summary_.saturated;
     }
   }
   summary_.booting += scale_out_.pending_machines();
@@ -209,8 +209,8 @@
     if (machine->reserved_for_gang != 0 || machine->in_gang_reserve) continue;
     const double boot_share =
         machine->spot ? constants::kSpotIdleBootShare : constants::kOnDemandIdleBootShare;
-    if (now - machine->idle_since < boot_share * state_.type_of(*machine)->boot_s) continue;
-    ++summary_.underwhelmed;
+    if (now - machine->became_idle_at < boot_share * state_.type_of(*machine)->boot_s) continue;
+    ++summary_.scale_in_candidates;
     if (idle_left <= config.free_machines || summary_.machines - returned.size() <= config.min_machines)
       break;
     returned.push_back(machine->id);
--- a/src/core/cancellation_tracker.cpp
+++ b/src/core/cancellation_tracker.cpp
@@ -23,7 +23,7 @@
   report.machines = machines.size();
   if (!longest_unheard) return;
   report.machine = longest_unheard->id;
-  report.unheard_s = now - longest_unheard->last_heartbeat_at;
+  report.time_since_heartbeat_s = now - longest_unheard->last_heartbeat_at;
   report.token_acknowledged = longest_unheard->token_acknowledged;
   report.deletion_requested = longest_unheard->scale_in_requested;
 }
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -29,11 +29,11 @@
   std::vector<bool> under_pressure(state_.types().size());
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
-    if (job.waiting_tasks() == 0 || now < job.backoff_until) continue;
+    if (job.waiting_tasks() == 0 || now < job.backoff_ends_at) continue;
     const auto start_s = start_target_s(state_.config(), job.spec.job_class);
     if (!start_s) continue;
     const double patience_s = std::max(constants::kScaleOutDelay, constants::kStartPressureShare * *start_s);
-    if (now - job.queued_since <= patience_s) continue;
+    if (now - job.queued_at <= patience_s) continue;
     for (std::size_t type = 0; type < under_pressure.size(); ++type)
       under_pressure[type] = under_pressure[type] || job.compatible_with(type);
   }
@@ -236,7 +236,7 @@
   const bool any_allowed = fill_present_machines(plan, claim);
   // Machines that are about to become free are waited for shortly; a task that no present machine could hold
   // is not.
-  if (claim.tasks == 0 || (any_allowed && now - job.queued_since < constants::kScaleOutDelay)) return;
+  if (claim.tasks == 0 || (any_allowed && now - job.queued_at < constants::kScaleOutDelay)) return;
   request_rest(plan, claim, allow_on_demand, now);
 }
 
@@ -271,7 +271,7 @@
   waiting_tasks_ = 0;
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
-    if (job.waiting_tasks() == 0 || now < job.backoff_until || waiting_tasks_ >= constants::kMaxDemandTasks)
+    if (job.waiting_tasks() == 0 || now < job.backoff_ends_at || waiting_tasks_ >= constants::kMaxDemandTasks)
       continue;
     const std::size_t headroom = constraints_.quota_headroom(job);
     if (job.is_gang() && headroom < job.waiting_tasks()) continue;
--- a/src/core/cluster_state.cpp
+++ b/src/core/cluster_state.cpp
@@ -11,8 +11,8 @@
 ClusterState::ClusterState(ClusterConfig config, FencingToken token)
     : config_(std::move(config)), token_(token) {}
 
-void ClusterState::lower_write_rate(double per_second) {
-  config_.write_rps = std::min(config_.write_rps, per_second);
+void ClusterState::lower_write_rate(double writes_per_second) {
+  config_.write_rps = std::min(config_.write_rps, writes_per_second);
 }
 
 void ClusterState::mark_loaded() {
@@ -37,15 +37,15 @@
   return found == jobs_by_serial_.end() ? nullptr : found->second;
 }
 
-Job& ClusterState::add_job(const wire::JobSpec& spec, Revision version, Time submitted, Time now) {
+Job& ClusterState::add_job(const wire::JobSpec& spec, Revision version, Time submitted_at, Time now) {
   Job& job = jobs_[spec.id];
   job.spec = spec;
   job.serial = next_serial_++;
   jobs_by_serial_[job.serial] = &job;
-  job.submitted = submitted;
+  job.submitted_at = submitted_at;
   job.tasks.assign(spec.task_count, TaskProgress{});
   job.version = version;
-  job.queued_since = now;
+  job.queued_at = now;
   job.team_usage = &usage_[spec.team];
   update_compatible_types(job);
   request_assignment_pass();
@@ -58,7 +58,7 @@
   jobs_.erase(id);
 }
 
-bool ClusterState::remember_ended(const JobId& id, Time now) {
+bool ClusterState::record_ended_job(const JobId& id, Time now) {
   return ended_jobs_.insert_or_assign(id, now).second;
 }
 
@@ -79,9 +79,9 @@
   Machine& machine = found->second;
   if (added) {
     machine.id = id;
-    machine.rented_at = now;
-    machine.idle_since = now;
-    // A machine known only by its id may run tasks, so its silence counts from now on.
+    machine.launched_at = now;
+    machine.became_idle_at = now;
+    // A machine known only by its id may run tasks, so the time since its last heartbeat counts from now.
     machine.last_heartbeat_at = now;
   }
   return machine;
@@ -106,17 +106,19 @@
 }
 
 void ClusterState::expire_tombstones(Time now) {
-  const auto expired = [now](const auto& each) { return now - each.second > constants::kTombstoneTtl; };
+  const auto expired = [now](const auto& tombstone) {
+    return now - tombstone.second > constants::kTombstoneTtl;
+  };
   std::erase_if(deleted_machines_, expired);
   std::erase_if(ended_jobs_, expired);
 }
 
-void ClusterState::expect_response(Machine& machine) {
+void ClusterState::mark_response_pending(Machine& machine) {
   machine.response_pending = true;
   awaiting_response_.insert(&machine);
 }
 
-void ClusterState::response_sent(Machine& machine, Time now) {
+void ClusterState::mark_response_sent(Machine& machine, Time now) {
   machine.last_response_at = now;
   machine.response_pending = false;
   awaiting_response_.erase(&machine);
@@ -127,11 +129,11 @@
 void ClusterState::update_types(const std::vector<wire::MachineType>& types) {
   for (auto& type : types_) type.zones.clear();
   for (const auto& type : types) {
-    const auto known = type_number(type.name);
-    if (known == kNoType) {
+    const auto number = type_number(type.name);
+    if (number == kNoType) {
       types_.push_back(type);
     } else {
-      types_[known] = type;
+      types_[number] = type;
     }
   }
   for (auto& [id, job] : jobs_) update_compatible_types(job);
@@ -179,7 +181,7 @@
   machine.used -= job.spec.task_resources;
   if (machine.assignments.empty()) {
     machine.used = {};
-    machine.idle_since = now;
+    machine.became_idle_at = now;
   }
   *job.team_usage -= job.spec.task_resources;
   job.assignments.erase(found);
--- a/src/core/cluster_state.hpp
+++ b/src/core/cluster_state.hpp
@@ -1,8 +1,7 @@
-// The leader's view of the cluster: jobs, machines, which task is assigned where, and what follows from it.
+// The leader's in-memory model of the cluster: jobs, machines, task assignments and the indices over them.
 //
-// All indices over this state (usage of teams, machines whose heartbeat awaits a response, jobs by serial)
-// are kept here. Assignments begin and end only in `begin_assignment` and `end_assignment`, so that the
-// quota, the resources in use and the lists of both sides cannot disagree.
+// Assignments change only in `begin_assignment` and `end_assignment`, which update the job, the machine and
+// the team's usage together and so keep them consistent.
 #pragma once
 
 #include <cstdint>
@@ -24,32 +23,32 @@
  public:
   using Jobs = std::map<JobId, Job>;
   using Machines = std::map<MachineId, Machine>;
-  using MachineSet = std::set<Machine*, ById>;
+  using MachineSet = std::set<Machine*, MachineIdLess>;
 
-  // Acts under the given fencing token.
+  // `token` is the fencing token of this leader's term.
   ClusterState(ClusterConfig config, FencingToken token);
 
   const ClusterConfig& config() const { return config_; }
   FencingToken token() const { return token_; }
-  // Keeps to a lower rate of writes from now on.
-  void lower_write_rate(double per_second);
-  // False until all records of earlier leaders have been read: until then nothing may be started or stopped.
+  // Lowers the write rate limit; a higher value than the current one has no effect.
+  void lower_write_rate(double writes_per_second);
+  // Returns whether all stored records have been read. Until then no task may be started or stopped.
   bool loaded() const { return loaded_; }
   void mark_loaded();
 
   // ---- Jobs ----
   Jobs& jobs() { return jobs_; }
   const Jobs& jobs() const { return jobs_; }
-  // Nothing where the job is unknown.
+  // Returns nullptr if the job is unknown.
   Job* find_job(const JobId& id);
   const Job* find_job(const JobId& id) const;
   Job* find_job(std::uint32_t serial) const;
-  Job& add_job(const wire::JobSpec& spec, Revision version, Time submitted, Time now);
-  // The job is remembered as ended for `kTombstoneTtl`.
+  Job& add_job(const wire::JobSpec& spec, Revision version, Time submitted_at, Time now);
+  // Removes the job and keeps a tombstone of it for `kTombstoneTtl`.
   void remove_job(const JobId& id, Time now);
   bool recently_ended(const JobId& id) const { return ended_jobs_.contains(id); }
-  // Returns whether the job was not yet remembered as ended.
-  bool remember_ended(const JobId& id, Time now);
+  // Adds or refreshes the tombstone of an ended job. Returns whether there was none before.
+  bool record_ended_job(const JobId& id, Time now);
 
   // ---- Machines ----
   Machines& machines() { return machines_; }
@@ -58,41 +57,42 @@
   const Machine* find_machine(const MachineId& id) const;
   Machine& find_or_add_machine(const MachineId& id, Time now);
   void set_offering(Machine& machine, const std::string& type, const std::string& zone, bool spot);
-  // The machine has no assignments any more. Its id is remembered as deleted for `kTombstoneTtl`.
+  // Removes a machine that has no assignments and keeps a tombstone of it for `kTombstoneTtl`.
   void remove_machine(const MachineId& id, Time now);
   bool recently_deleted(const MachineId& id) const { return deleted_machines_.contains(id); }
-  // Forgets ended jobs and deleted machines whose time is over.
+  // Removes tombstones of jobs and machines that are older than `kTombstoneTtl`.
   void expire_tombstones(Time now);
 
-  // Machines whose last heartbeat has not been answered: commands travel only in these responses.
+  // Machines whose last heartbeat has no response yet. Commands are sent in these responses.
   const MachineSet& awaiting_response() const { return awaiting_response_; }
-  void expect_response(Machine& machine);
-  void response_sent(Machine& machine, Time now);
+  void mark_response_pending(Machine& machine);
+  void mark_response_sent(Machine& machine, Time now);
 
-  // ---- Machine types, numbered as first seen ----
+  // ---- Machine types, numbered in the order in which the cloud first listed them ----
   const std::vector<wire::MachineType>& types() const { return types_; }
-  // A type that is offered no more keeps its number, since machines of it may be up, but no zone.
+  // Replaces the list of types. A type that is no longer offered keeps its number, since machines of it may
+  // still be running, but has no zones.
   void update_types(const std::vector<wire::MachineType>& types);
-  // `kNoType` for a name that the cloud never described.
+  // Returns `kNoType` if the cloud has never listed a type of this name.
   std::size_t type_number(const std::string& name) const;
-  // Nothing where the cloud has not described the machine's type.
+  // Returns nullptr if the machine's type is unknown.
   const wire::MachineType* type_of(const Machine& machine) const;
-  // CPUs of the largest type, at least 1.
+  // Returns the number of CPUs of the largest type, at least 1.
   double largest_cpus() const;
   void update_compatible_types(Job& job) const;
 
   // ---- Assignments ----
   void begin_assignment(Job& job, TaskIndex index, const TaskAssignment& assignment);
-  // The task is proved to be off its machine, or its start was never sent. Returns false where it had no
-  // assignment.
+  // Releases the assignment of a task that is confirmed ended or was never dispatched. Returns false if the
+  // task has no assignment.
   bool end_assignment(Job& job, TaskIndex index, Time now);
   wire::Resources team_usage(const std::string& team) const;
 
-  // Whether something has changed since the last pass that could let a waiting task be assigned.
+  // Returns whether a change since the last assignment pass may allow a waiting task to be assigned.
   bool assignment_pass_requested() const { return assignment_pass_requested_; }
   void request_assignment_pass(bool requested = true) { assignment_pass_requested_ = requested; }
 
-  // Machines and jobs looked at while tasks were assigned: the work that must not grow with the fleet.
+  // The number of machines and jobs examined while assigning tasks; a measure of the scheduling cost.
   std::uint64_t scanned() const { return scanned_; }
   void count_scanned(std::size_t items) { scanned_ += items; }
 
@@ -103,9 +103,9 @@
   Jobs jobs_;
   std::unordered_map<std::uint32_t, Job*> jobs_by_serial_;
   std::uint32_t next_serial_ = 1;
-  std::map<JobId, Time> ended_jobs_;  // late news of their submission start nothing
+  std::map<JobId, Time> ended_jobs_;  // tombstones: a late submission event does not start the job again
   Machines machines_;
-  std::map<MachineId, Time> deleted_machines_;
+  std::map<MachineId, Time> deleted_machines_;  // tombstones
   MachineSet awaiting_response_;
   std::vector<wire::MachineType> types_;
   std::map<std::string, wire::Resources> usage_;  // by team
--- a/src/core/completion_forecast.cpp
+++ b/src/core/completion_forecast.cpp
@@ -9,8 +9,8 @@
 bool nearly_done(const Job& job, const TaskAssignment& assignment, Time now) {
   if (assignment.stopping) return true;
   const double expected = job.expected_run_s;
-  if (assignment.running_since == 0 || expected <= 0) return false;
-  const double progress = (now - assignment.running_since) / expected;
+  if (assignment.run_started_at == 0 || expected <= 0) return false;
+  const double progress = (now - assignment.run_started_at) / expected;
   return progress >= constants::kNearlyDoneProgress && progress <= constants::kOverrunFactor;
 }
 
--- a/src/core/effects.hpp
+++ b/src/core/effects.hpp
@@ -1,4 +1,4 @@
-// The outputs of the leader's state machine: what its owner is to do.
+// Outputs of the leader's state machine, carried out by its caller.
 #pragma once
 
 #include <cstdint>
@@ -11,36 +11,36 @@
 
 namespace dockdyke::core {
 
-// A transaction to be repeated until it is applied, conflicts or is rejected. The writer adds the
-// precondition on the leader's key.
+// A transaction to be retried until it is applied, conflicts or is rejected. The writer adds the precondition
+// on the leader's key.
 struct StateWrite {
   std::uint64_t number = 0;
-  std::vector<JobId> completed_jobs;  // jobs whose terminal record it holds; their users wait for it
-  bool urgent = false;                // goes ahead of other writes
+  std::vector<JobId> completed_jobs;  // jobs whose terminal records the transaction stores
+  bool urgent = false;                // sent before non-urgent writes
   wire::Transaction transaction;
 };
 
-// To be recorded, then asked of the cloud until it answers.
+// Persist the request, then send it to the cloud until the cloud responds.
 struct RequestScaleOut {
   wire::ScaleOutRequest request;
-  bool recorded = false;
+  bool persisted = false;  // the request is already stored
 };
 
-// To be recorded under `key`, then asked of the cloud until it answers.
+// Persist the request under `key`, then send it to the cloud until the cloud responds.
 struct RequestScaleIn {
   std::string key;
   std::vector<MachineId> machines;
-  bool recorded = false;
+  bool persisted = false;  // the request is already stored
 };
 
-// Keys that nobody needs any more.
+// Delete obsolete keys from the state service.
 struct DeleteKeys {
   std::vector<std::string> keys;
 };
 
-// Stop commands sent straight to a worker: a gang saves its checkpoint only if all its tasks are told at
-// nearly the same time, which heartbeat responses cannot ensure. They name an attempt that is ending anyway,
-// so a late or repeated copy neither starts anything nor ends anything that should go on.
+// Send stop commands directly to a worker instead of in a heartbeat response. A gang can write a checkpoint
+// only if all its tasks are stopped at nearly the same time. The commands name an attempt that is ending, so
+// a late or repeated copy is harmless.
 struct SendStopCommands {
   MachineId machine;
   std::string address;
@@ -50,7 +50,7 @@
 
 using Effect = std::variant<RequestScaleOut, RequestScaleIn, DeleteKeys, SendStopCommands>;
 
-// Collects the effects of all parts, in their order, until the owner takes them.
+// Collects effects in order until the caller takes them.
 class EffectQueue {
  public:
   void push(Effect effect) { effects_.push_back(std::move(effect)); }
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -1,4 +1,4 @@
-// The inputs of the leader's state machine, besides heartbeats.
+// Inputs of the leader's state machine other than heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 namespace dockdyke::core {
 
-// ---- What a new leader reads, in this order: jobs, segments, parts of gang records; then LoadCompleted ----
+// ---- Stored records, loaded in this order: jobs, segments, parts of gang records; then LoadCompleted ----
 
 struct JobLoaded {
   JobRecord record;
   Revision version;
-  bool terminating = false;  // cancelled, with tasks that may still be on machines
+  bool terminating = false;  // cancelled, with tasks that may still be running
 };
-// Segments come in the order of their keys.
+// Segments are delivered in the order of their keys.
 struct SegmentLoaded {
   std::string key;
   SegmentRecord segment;
@@ -37,42 +37,42 @@
 };
 struct LoadCompleted {};
 
-// ---- What users and other controllers do ----
+// ---- Jobs ----
 
 struct JobSubmitted {
   JobRecord record;
   Revision version;
 };
-// The job's active record is gone: the job was cancelled, or its terminal record has been stored.
-struct JobRecordRemoved {
+// The job's active record was deleted: the job was cancelled, or its terminal record was stored.
+struct JobRecordDeleted {
   JobId id;
 };
 
-// ---- What became of writes ----
+// ---- Results of writes ----
 
 struct WriteApplied {
   std::uint64_t number = 0;
 };
-// Nothing was changed, since the preconditions on these keys did not hold.
+// The transaction was not applied, since the preconditions on these keys failed.
 struct WriteConflicted {
   std::uint64_t number = 0;
   std::vector<std::string> failed_keys;
 };
-// The state service called the transaction invalid, most likely for its size. Nothing was changed.
+// The state service rejected the transaction as invalid, most likely because of its size.
 struct WriteRejected {
   std::uint64_t number = 0;
 };
-// The state service accepts fewer writes per second than it did.
+// The state service has lowered its write rate limit.
 struct WriteRateLowered {
-  double per_second = 0;
+  double writes_per_second = 0;
 };
 
-// ---- What the cloud says ----
+// ---- Responses of the cloud ----
 
 struct MachinesListed {
   std::vector<wire::ListedMachine> machines;
 };
-// As many machines as there were, up to the number asked for.
+// `machines` has at most the requested number of machines.
 struct ScaleOutGranted {
   ScaleOutId id;
   std::vector<MachineId> machines;
@@ -90,11 +90,11 @@
 
 // ---- Time ----
 
-// Comes every `kHousekeepingInterval`.
+// Sent every `kHousekeepingInterval`.
 struct Tick {};
 
 using Event = std::variant<JobLoaded, SegmentLoaded, GangPartLoaded, ScaleOutLoaded, ScaleInLoaded,
-                           LoadCompleted, JobSubmitted, JobRecordRemoved, WriteApplied, WriteConflicted,
+                           LoadCompleted, JobSubmitted, JobRecordDeleted, WriteApplied, WriteConflicted,
                            WriteRejected, WriteRateLowered, MachinesListed, ScaleOutGranted, ScaleOutRefused,
                            MachinesDeleted, MachineTypesChanged, Tick>;
 
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -72,7 +72,7 @@
 }
 
 bool FailureDetector::boot_failed(const Machine& machine, Time now) const {
-  const double age_s = now - machine.rented_at;
+  const double age_s = now - machine.launched_at;
   if (const auto* type = state_.type_of(machine)) return age_s > constants::kLostBootFactor * type->boot_s;
   // One known only from a record and shown by no list is most likely gone; deleting it is the proof.
   return !machine.listed && age_s > 2 * state_.config().machine_list_lag_s + constants::kUnknownMachineGrace;
@@ -86,11 +86,11 @@
 
 bool FailureDetector::responses_lost(const Machine& machine, Time now) const {
   return machine.undelivered_responses >= constants::kUndeliveredResponsesThreshold &&
-         now - machine.undelivered_since > state_.config().worker_lease_s + constants::kLeaseExpiryMargin;
+         now - machine.first_undelivered_at > state_.config().worker_lease_s + constants::kLeaseExpiryMargin;
 }
 
 bool FailureDetector::to_be_deleted(const Machine& machine, Time now) const {
-  if (machine.state == MachineState::gone) return true;
+  if (machine.state == MachineState::failed) return true;
   if (machine.state == MachineState::booting) return boot_failed(machine, now);
   if (constraints_.silent(machine, now)) return unreachable(machine, now);
   if (responses_lost(machine, now)) return machine.assignments.empty() || !machine.token_acknowledged;
--- a/src/core/gang_checkpoint.cpp
+++ b/src/core/gang_checkpoint.cpp
@@ -34,9 +34,9 @@
 
 void GangCheckpoint::save_and_stop(Job& job) {
   job.gang.aborted = true;
-  std::map<Machine*, std::vector<wire::Command>, ById> commands;
+  std::map<Machine*, std::vector<wire::Command>, MachineIdLess> commands;
   for (auto& [index, assignment] : job.assignments) {
-    assignment.stop(job.spec.checkpoint_duration_s + constants::kGangCheckpointMargin);
+    assignment.request_stop(job.spec.checkpoint_duration_s + constants::kGangCheckpointMargin);
     commands[assignment.machine].push_back(
         {wire::CommandKind::stop, {job.spec.id, index}, assignment.attempt, assignment.grace_s});
   }
--- a/src/core/gang_records.hpp
+++ b/src/core/gang_records.hpp
@@ -1,7 +1,7 @@
-// Stored records of gang attempts: which machines the tasks of an attempt are assigned to.
+// Writes the records of gang attempts, which hold the machines that the tasks of an attempt are assigned to.
 //
-// A record is stored in as many parts as the size of values needs. An attempt may be started only when all
-// its parts are stored.
+// A record is split into parts that fit into a value of the state service. An attempt may be dispatched only
+// when all its parts are durable.
 #pragma once
 
 #include <cstddef>
@@ -17,14 +17,14 @@
 
 namespace dockdyke::core {
 
-// The attempt that a part of a record belongs to.
+// Identifies a gang's attempt.
 struct GangAttemptRef {
-  std::uint32_t job = 0;  // serial
+  std::uint32_t job_serial = 0;
   Attempt attempt = 0;
 };
 
-// A part to be stored.
-struct UnstoredGangPart {
+// A part of a record that is to be written.
+struct PendingGangPart {
   GangAttemptRef attempt;
   wire::Transaction transaction;
 };
@@ -33,26 +33,27 @@
  public:
   GangRecords(ClusterState& state, EffectQueue& effects);
 
-  // The job's present attempt, with all its tasks, is to be stored.
+  // Queues the record of the job's current attempt. `tasks` are all tasks of the attempt.
   void add(Job& job, const std::vector<TaskRecord>& tasks);
-  bool empty() const { return unstored_.empty(); }
-  // Skips parts of attempts that were given up before they were stored; their numbers are not used again.
-  std::optional<UnstoredGangPart> next_part();
-  // The part is stored. With the last one, records of earlier attempts are deleted.
+  bool empty() const { return pending_parts_.empty(); }
+  // Returns the next part to write or std::nullopt. Skips parts of attempts that have been aborted; their
+  // attempt numbers are not used again.
+  std::optional<PendingGangPart> next_part();
+  // Marks a part as durable. Once all parts are, the records of previous attempts are deleted.
   void confirm(const GangAttemptRef& ref);
-  // The state service refused the part as too large. Returns the job whose attempt must be aborted: the next
-  // one is stored in smaller parts under the next number, since an earlier try of this one may be stored all
-  // the same.
+  // Handles a part that the state service rejected as too large: later records use smaller parts. Returns the
+  // job whose attempt must be aborted, if any. The attempt number is not reused, since a previous
+  // transmission of the part may have been stored.
   Job* reject(const GangAttemptRef& ref);
 
  private:
-  // Nothing where the job is over or has gone on to another attempt.
-  Job* job_of(const GangAttemptRef& ref) const;
+  // Returns the job, or nullptr if it has ended or its current attempt is another one.
+  Job* find_job_of_attempt(const GangAttemptRef& ref) const;
 
   ClusterState& state_;
   EffectQueue& effects_;
   std::size_t max_bytes_;
-  std::deque<GangPart> unstored_;
+  std::deque<GangPart> pending_parts_;
 };
 
 }  // namespace dockdyke::core
--- a/src/core/gang_reservations.cpp
+++ b/src/core/gang_reservations.cpp
@@ -56,8 +56,8 @@
   if (expire_reservations(now) || now < next_reservation_at_) return;
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
-    if (!job.is_gang() || now < job.backoff_until ||
-        now - job.queued_since < constants::kGangReservationDelay ||
+    if (!job.is_gang() || now < job.backoff_ends_at ||
+        now - job.queued_at < constants::kGangReservationDelay ||
         constraints_.quota_headroom(job) < job.spec.task_count)
       continue;
     if (!reserve(job, now)) continue;
--- a/src/core/gang_scheduler.cpp
+++ b/src/core/gang_scheduler.cpp
@@ -30,7 +30,7 @@
   std::map<std::string, std::vector<GangCandidate>> groups;  // by zone where all tasks must share one
   state_.count_scanned(machines.size());
   for (Machine* machine : machines) {
-    if (machine->reserved_against(job, now)) continue;
+    if (machine->reserved_for_other(job, now)) continue;
     const auto cost = cost_.of(job, *machine, largest_cpus);
     if (!cost) continue;
     const auto fits = tasks_fitting(spec.task_resources, constraints_.free_capacity(*machine));
@@ -64,7 +64,7 @@
   ++gang.attempt;
   gang.aborted = false;
   gang.failure_counted = false;
-  gang.confirmed = 0;
+  gang.confirmed_parts = 0;
   gang.assigned_at = now;
   gang.started_at = 0;
   gang.machine_count = shares.size();
@@ -98,9 +98,9 @@
   std::optional<std::vector<Machine*>> machines;  // found when the first gang needs them
   for (const auto& queued : queue_.ordered(now)) {
     Job& job = *queued.job;
-    if (!job.is_gang() || job.waiting_tasks() == 0 || now < job.backoff_until) continue;
+    if (!job.is_gang() || job.waiting_tasks() == 0 || now < job.backoff_ends_at) continue;
     const double wait_s = constants::kGangPlacementWaitShare * constraints_.heartbeat_round_s();
-    if (now - job.queued_since < wait_s) continue;
+    if (now - job.queued_at < wait_s) continue;
     if (!machines) machines = machines_accepting_work(state_, constraints_, now);
     assign(job, *machines, now);
   }
@@ -120,7 +120,7 @@
   for (auto& [index, assignment] : job.assignments) {
     if (assignment.observed || assignment.adopted) continue;
     // A machine that has not shown its task by now may not do so in time with the next attempt either.
-    assignment.machine->assignments_paused_until = now + constants::kNoCapacityBackoff;
+    assignment.machine->assignments_resume_at = now + constants::kNoCapacityBackoff;
     lifecycle_.abort_gang(job);
   }
 }
--- a/src/core/job.cpp
+++ b/src/core/job.cpp
@@ -4,7 +4,7 @@
 
 namespace dockdyke::core {
 
-void TaskAssignment::stop(double grace_period_s) {
+void TaskAssignment::request_stop(double grace_period_s) {
   grace_s = stopping ? std::min(grace_s, grace_period_s) : grace_period_s;
   stopping = true;
 }
@@ -15,7 +15,7 @@
 }
 
 bool Job::result_durable(TaskIndex index) const {
-  // The last result of a job is stored with its terminal record, and so are all results of a gang.
+  // The terminal record makes the last result of a job durable, and all results of a gang.
   if (complete() || is_gang()) return !terminal_write_pending;
   return tasks[index].durable();
 }
--- a/src/core/job.hpp
+++ b/src/core/job.hpp
@@ -1,4 +1,4 @@
-// A job and its tasks, as the leader knows them.
+// The leader's model of a job and its tasks.
 #pragma once
 
 #include <cstddef>
@@ -16,89 +16,90 @@
 
 struct Machine;
 
-// A task that is, or may be, on a machine. It occupies resources and quota until it is proved gone.
+// The assignment of a task to a machine. It occupies resources and quota until the task is confirmed ended.
 struct TaskAssignment {
   Machine* machine = nullptr;
   Attempt attempt = 0;
-  bool adopted = false;     // assigned by an earlier leader and not yet observed by this one
-  bool dispatched = false;  // its start command was in a response of this leader
+  bool adopted = false;     // assigned by a previous leader and not yet observed by this one
+  bool dispatched = false;  // this leader has sent its start command
   std::uint64_t dispatched_incarnation = 0;
-  bool observed = false;                    // a heartbeat has shown it to this leader
-  std::uint64_t observed_in_heartbeat = 0;  // `Machine::heartbeat_count` at the last one that did
+  bool observed = false;                    // some heartbeat to this leader has listed the task
+  std::uint64_t observed_in_heartbeat = 0;  // `Machine::heartbeat_count` at the last such one
   wire::TaskState state = wire::TaskState::fetching;
   Time assigned_at = 0;
-  Time running_since = 0;  // 0: not observed running
+  Time run_started_at = 0;  // 0: not observed running
   bool stopping = false;
-  double grace_s = 0;  // for saving a checkpoint while it stops
+  double grace_s = 0;  // time to write a checkpoint while it stops
 
-  // For how long (s) it has been observed running.
-  double ran_s(Time now) const { return running_since > 0 ? now - running_since : 0; }
-  // No worker can have received its start command.
+  // Returns for how many seconds the task has been observed running.
+  double ran_s(Time now) const { return run_started_at > 0 ? now - run_started_at : 0; }
+  // Returns whether no worker can have received its start command.
   bool never_dispatched() const { return !dispatched && !observed && !adopted; }
-  // Tells the task to stop. The shortest grace period that was asked for counts.
-  void stop(double grace_period_s);
+  // Marks the task to be stopped. Of several requested grace periods, the shortest applies.
+  void request_stop(double grace_period_s);
 };
 
-// Segments of the task log are numbered in the order of their keys; 0 is no segment.
+// Segments of the task log are numbered in the order of their keys. 0: no segment.
 using SegmentNumber = std::uint64_t;
 
-// What is kept of every task besides its assignment. Small, since a job may have 100,000 tasks.
+// State of a task that is kept whether or not it is assigned. Small, since a job may have 100,000 tasks.
 struct TaskProgress {
-  // No segment holds the task's present state yet.
+  // Marks a task whose current state has not been written to any segment.
   static constexpr SegmentNumber kUnpersisted = std::numeric_limits<SegmentNumber>::max();
 
   Attempt attempt = 0;                // the last one assigned
-  SegmentNumber first_segment = 0;    // the segment that its present state was first written to
-  SegmentNumber durable_segment = 0;  // the newest stored segment with an entry of the task
+  SegmentNumber first_segment = 0;    // the segment to which its current state was first written
+  SegmentNumber durable_segment = 0;  // the newest durable segment with an entry of the task
   bool done = false;
 
   bool durable() const { return durable_segment >= first_segment; }
 };
 
-// The present attempt of a gang. All its tasks are assigned, started and ended under one attempt number.
+// The current attempt of a gang. All its tasks are assigned, started and ended under one attempt number.
 struct GangAttempt {
-  Attempt attempt = 0;           // the last number used
-  std::uint32_t parts = 0;       // of its stored record
-  std::uint32_t confirmed = 0;   // parts known to be stored
-  bool aborted = false;          // a task is gone or is to go, so the others are stopped
-  bool failure_counted = false;  // its tasks fail together, which counts once
+  Attempt attempt = 0;                // the last number used
+  std::uint32_t part_count = 0;       // parts of its stored record
+  std::uint32_t confirmed_parts = 0;  // parts known to be durable
+  bool aborted = false;               // a task has ended or will be stopped, so the others are stopped too
+  bool failure_counted = false;       // set by the first failed task: failures of the same attempt count once
   Time assigned_at = 0;
-  Time started_at = 0;            // when one of its tasks was first observed running: all were, then
-  std::size_t machine_count = 0;  // machines it was assigned to
-  std::vector<std::string> keys;  // of parts that may be stored, also of earlier attempts
+  Time started_at = 0;            // when one of its tasks was first observed running
+  std::size_t machine_count = 0;  // machines that its tasks were assigned to
+  std::vector<std::string> keys;  // keys of parts that may be stored, including those of previous attempts
 
-  bool durable() const { return parts > 0 && confirmed == parts; }
+  bool durable() const { return part_count > 0 && confirmed_parts == part_count; }
 };
 
 struct Job {
   wire::JobSpec spec;
   std::uint32_t serial = 0;  // identifies the job within this process
-  Time submitted = 0;
+  Time submitted_at = 0;
   std::vector<TaskProgress> tasks;
   TaskIndex done_count = 0;
-  // Tasks that wait for an assignment: those that lost one, then every one from `next_unattempted` on.
+  // Tasks that wait for an assignment: those whose assignment was released, then all from
+  // `next_unattempted` on.
   std::set<TaskIndex> requeued;
   TaskIndex next_unattempted = 0;
   std::map<TaskIndex, TaskAssignment> assignments;
-  std::vector<TaskIndex> unpersisted;  // tasks whose present state is in no segment
-  GangAttempt gang;                    // of gangs only
+  std::vector<TaskIndex> unpersisted;  // tasks whose current state is in no segment
+  GangAttempt gang;                    // used only if `is_gang()`
 
-  Revision version;                     // of the stored record
+  Revision version;                     // of the active record
   bool terminal_write_pending = false;  // its terminal record is queued or in flight
-  bool cancelled = false;               // its active record is gone; its tasks are being stopped
-  Time cancelled_at = 0;                // as far as this controller knows
-  bool started = false;                 // some task has been observed running
-  Time queued_since = 0;                // some task has been waiting for capacity since
-  double expected_run_s = 0;            // of a task, as corrected when the queue was last ordered
+  bool cancelled = false;               // its active record was deleted; its tasks are being stopped
+  Time cancelled_at = 0;                // as stored, or when this leader was notified of it
+  bool started = false;                 // at least one task has been observed running
+  Time queued_at = 0;                   // since when at least one task has been waiting for capacity
+  double expected_run_s = 0;            // run time of a task, as estimated when the queue was last ordered
   double total_run_s = 0;               // sum of the observed run times of its completed tasks
-  std::uint32_t completed_runs = 0;     // number of those
-  // By type number: the job allows the type, and a task of it fits on an empty machine.
+  std::uint32_t completed_runs = 0;     // number of these run times
+  // By type number: whether the job allows the type and its task fits on an empty machine of it.
   std::vector<bool> compatible_types;
-  wire::Resources* team_usage = nullptr;  // of its team, in `ClusterState`
-  // Machines on which it failed since a task of it last completed, and failures in a row.
+  wire::Resources* team_usage = nullptr;  // the team's entry in `ClusterState`
+  // Machines on which tasks of the job have failed since one last completed.
   std::set<MachineId> failed_machines;
-  std::uint32_t failures = 0;
-  Time backoff_until = 0;  // no task is assigned before
+  std::uint32_t consecutive_failures = 0;
+  Time backoff_ends_at = 0;  // no task is assigned before this time
 
   bool is_gang() const { return spec.kind == wire::JobKind::gang; }
   bool complete() const { return done_count == spec.task_count; }
@@ -110,13 +111,13 @@
   bool compatible_with(std::size_t type_number) const {
     return type_number < compatible_types.size() && compatible_types[type_number];
   }
-  // Whether the task's assignment is stored, so that its start command may be sent.
+  // Returns whether the task's assignment is durable, so that its start command may be sent.
   bool assignment_durable(TaskIndex index) const;
-  // Whether the task's completion is stored, so that its worker may forget it.
+  // Returns whether the task's completion is durable, so that its worker may discard the result.
   bool result_durable(TaskIndex index) const;
 };
 
-// A task on a machine. Valid as long as its job holds the assignment.
+// Refers to an assigned task. Valid while the job has the assignment.
 struct AssignedTask {
   Job* job = nullptr;
   TaskIndex index = 0;
--- a/src/core/job_queue.cpp
+++ b/src/core/job_queue.cpp
@@ -46,7 +46,7 @@
 // start times (due times less run times) keep short jobs waiting and were worse for both.
 auto queue_position(const QueuedJob& queued) {
   const Job& job = *queued.job;
-  if (queued.starving) return std::tuple(0, 0, job.submitted, job.serial);
+  if (queued.starving) return std::tuple(0, 0, job.submitted_at, job.serial);
   return std::tuple(queued.within_fair_share ? 1 : 2, -static_cast<int>(job.spec.priority),
                     queued.first_slo_deadline, job.serial);
 }
@@ -81,7 +81,7 @@
       std::any_of(teams.begin(), teams.end(), [](const Team& team) { return team.has_guaranteed_share(); });
   if (!any_share) return;
   std::sort(unfinished.begin(), unfinished.end(),
-            [](const Job* a, const Job* b) { return a->submitted < b->submitted; });
+            [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
   std::map<std::string, wire::Resources> claimed;
   for (const Job* job : unfinished) {
     const Team* team = state_.config().find_team(job->spec.team);
@@ -94,7 +94,7 @@
 }
 
 bool JobQueue::starving(const Job& job, Time now) const {
-  return !job.started && job.assignments.empty() && now - job.submitted >= constants::kStarvationThreshold;
+  return !job.started && job.assignments.empty() && now - job.submitted_at >= constants::kStarvationThreshold;
 }
 
 QueuedJob JobQueue::assess(Job& job, Time now) const {
@@ -104,11 +104,11 @@
   queued.starving = starving(job, now);
   const auto targets = completion_targets_s(state_.config(), job);
   const auto reachable = std::find_if(targets.begin(), targets.end(), [&](double target_s) {
-    return now + job.expected_run_s <= job.submitted + target_s;
+    return now + job.expected_run_s <= job.submitted_at + target_s;
   });
   queued.slo_reachable = reachable != targets.end();
-  queued.slo_deadline = job.submitted + (queued.slo_reachable ? *reachable : targets.back());
-  queued.first_slo_deadline = job.submitted + targets.front();
+  queued.slo_deadline = job.submitted_at + (queued.slo_reachable ? *reachable : targets.back());
+  queued.first_slo_deadline = job.submitted_at + targets.front();
   const double round_s = constraints_.heartbeat_round_s();
   const auto start_s = start_target_s(state_.config(), job.spec.job_class);
   const bool start_counts = start_s && *start_s < 2 * round_s;
--- a/src/core/job_records.cpp
+++ b/src/core/job_records.cpp
@@ -15,18 +15,19 @@
 constexpr const char* kState = "stage";
 constexpr const char* kDone = "done";
 
-std::size_t bytes_of(const JobRecord& record) {
+std::size_t encoded_bytes(const JobRecord& record) {
   return to_json(record).dump(-1, ' ', false, Json::error_handler_t::replace).size();
 }
 
-// A cancelled job is never assigned again: only what its remaining tasks take of quota and zones counts.
+// Tasks of a cancelled job are never assigned again, so only the fields needed to account for the resources
+// of its running tasks are kept.
 void drop_scheduling_fields(JobRecord& record) {
-  constexpr const char* kNone = "-";
+  constexpr const char* kPlaceholder = "-";
   record.spec.machine_types.reset();
   record.spec.zone.reset();
   record.spec.deadline_s.reset();
-  record.spec.job_class = kNone;
-  record.spec.image = kNone;
+  record.spec.job_class = kPlaceholder;
+  record.spec.image = kPlaceholder;
 }
 
 }  // namespace
@@ -39,7 +40,7 @@
 
 JobRecord parse_job_record(const Json& value) {
   const Json* spec = wire::find(value, kSpec);
-  if (!spec) throw Malformed("invalid job record");
+  if (!spec) throw Malformed("job record has no spec");
   JobRecord record;
   record.spec = wire::parse_job(*spec);
   record.submitted_ms = static_cast<std::int64_t>(wire::require_count(value, kSubmitted));
@@ -54,19 +55,19 @@
 
 TerminalRecord parse_terminal_record(const Json& value) {
   auto state = wire::job_state_from(wire::require_text(value, kState));
-  if (!state) throw Malformed("invalid state in record");
+  if (!state) throw Malformed("invalid job state in terminal record");
   return {*state, wire::require_count(value, kDone)};
 }
 
 bool fits_value(JobRecord record, std::size_t max_value_bytes) {
   if (!record.cancelled_ms) record.cancelled_ms = record.submitted_ms;
-  return bytes_of(record) <= max_value_bytes;
+  return encoded_bytes(record) <= max_value_bytes;
 }
 
-wire::Transaction cancellation(JobRecord record, Revision version, std::uint64_t done,
-                               std::int64_t time_of_day_ms, std::size_t max_value_bytes) {
+wire::Transaction cancellation_transaction(JobRecord record, Revision version, std::uint64_t done,
+                                           std::int64_t cancelled_ms, std::size_t max_value_bytes) {
   const auto& id = record.spec.id;
-  record.cancelled_ms = time_of_day_ms;
+  record.cancelled_ms = cancelled_ms;
   if (!fits_value(record, max_value_bytes)) drop_scheduling_fields(record);
   wire::Transaction transaction;
   transaction.preconditions.push_back({key::active_job(id), version});
--- a/src/core/job_records.hpp
+++ b/src/core/job_records.hpp
@@ -1,5 +1,5 @@
-// Stored records of jobs. Shared by the leader and by controllers that serve a user's request on the state
-// service themselves.
+// Stored records of jobs, used by the leader and by followers that serve user requests from the state
+// service.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,18 @@
 
 namespace dockdyke::core {
 
-// The record of an active job, written once, when it is submitted. Times are milliseconds since 1970.
+// The record of an active job, written once at submission. Times are milliseconds since the Unix epoch.
 struct JobRecord {
   wire::JobSpec spec;
   std::int64_t submitted_ms = 0;
-  // Only in the copy that stays until the tasks of a cancelled job are proved gone.
+  // Set only in the copy that is kept until all tasks of a cancelled job are confirmed ended.
   std::optional<std::int64_t> cancelled_ms = {};
 };
 
 // The record of a job that is done or cancelled.
 struct TerminalRecord {
   wire::JobState state = wire::JobState::done;
-  std::uint64_t done = 0;  // tasks
+  std::uint64_t done = 0;  // number of completed tasks
 };
 
 // The parsers throw `wire::Malformed`.
@@ -30,13 +30,13 @@
 wire::Json to_json(const TerminalRecord& record);
 TerminalRecord parse_terminal_record(const wire::Json& value);
 
-// Whether the record, and its copy after a cancellation, fit into a value of the state service.
+// Returns whether the record and its copy after a cancellation fit into a value of the state service.
 bool fits_value(JobRecord record, std::size_t max_value_bytes);
 
-// The transaction that cancels a job: the active record becomes the terminal one, and a copy stays until its
-// tasks, which the task log may name, are proved gone. The copy always fits into a value: what is only needed
-// to assign tasks is left out of a record that was written under a higher limit.
-wire::Transaction cancellation(JobRecord record, Revision version, std::uint64_t done,
-                               std::int64_t time_of_day_ms, std::size_t max_value_bytes);
+// Returns the transaction that cancels a job. It replaces the active record by the terminal one and adds a
+// copy that is kept until all tasks are confirmed ended. If the copy would exceed `max_value_bytes`, fields
+// that are only needed to assign tasks are left out.
+wire::Transaction cancellation_transaction(JobRecord record, Revision version, std::uint64_t done,
+                                           std::int64_t cancelled_ms, std::size_t max_value_bytes);
 
 }  // namespace dockdyke::core
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -118,12 +118,12 @@
   add_job(event.record, event.version, now);
 }
 
-void LeaderStateMachine::on(const JobRecordRemoved& event, Time now) {
+void LeaderStateMachine::on(const JobRecordDeleted& event, Time now) {
   Job* job = state_.find_job(event.id);
   if (!job) {
     // News of its submission may still come. A job that was cancelled before it was known here has no tasks,
     // and nobody else would delete the copy of its record.
-    if (state_.remember_ended(event.id, now) && state_.loaded())
+    if (state_.record_ended_job(event.id, now) && state_.loaded())
       effects_.push(DeleteKeys{{key::terminating_job(event.id)}});
     return;
   }
@@ -155,11 +155,11 @@
 }
 
 void LeaderStateMachine::on(const WriteApplied& event, Time now) {
-  for (const auto& id : writes_.applied(event.number)) lifecycle_.terminal_record_stored(id, now);
+  for (const auto& id : writes_.on_applied(event.number)) lifecycle_.terminal_record_stored(id, now);
 }
 
 void LeaderStateMachine::on(const WriteConflicted& event, Time now) {
-  for (const auto& id : writes_.conflicted(event.number, event.failed_keys)) {
+  for (const auto& id : writes_.on_conflicted(event.number, event.failed_keys)) {
     // Its active record was removed by an earlier try, or by a cancellation whose copy nobody else would
     // delete.
     effects_.push(DeleteKeys{{key::terminating_job(id)}});
@@ -168,11 +168,11 @@
 }
 
 void LeaderStateMachine::on(const WriteRejected& event, Time) {
-  if (Job* gang = writes_.rejected(event.number)) lifecycle_.abort_gang(*gang);
+  if (Job* gang = writes_.on_rejected(event.number)) lifecycle_.abort_gang(*gang);
 }
 
 void LeaderStateMachine::on(const WriteRateLowered& event, Time) {
-  state_.lower_write_rate(event.per_second);
+  state_.lower_write_rate(event.writes_per_second);
 }
 
 // ---- The cloud --------------------------------------------------------------------------------------------
@@ -292,7 +292,7 @@
 std::map<InstanceOffering, OfferingUsage> LeaderStateMachine::usage_by_offering() const {
   std::map<InstanceOffering, OfferingUsage> out;
   for (const auto& [id, machine] : state_.machines()) {
-    if (machine.state == MachineState::gone) continue;
+    if (machine.state == MachineState::failed) continue;
     OfferingUsage& usage = out[{machine.type, machine.zone, machine.spot}];
     ++usage.machines;
     usage.booting += machine.state == MachineState::booting ? 1 : 0;
--- a/src/core/leader_state_machine.hpp
+++ b/src/core/leader_state_machine.hpp
@@ -97,7 +97,7 @@
   AssignmentCounts assignment_counts() const;
   CancellationSummary cancellation_summary(Time now) const { return cancellations_.summary(now); }
   std::map<InstanceOffering, OfferingUsage> usage_by_offering() const;
-  std::size_t task_log_segments() const { return task_log_.segments(); }
+  std::size_t task_log_segments() const { return task_log_.segment_count(); }
   // Machines and jobs looked at so far while tasks were assigned: the work that must not grow with the fleet.
   std::uint64_t scanned() const { return state_.scanned(); }
 
@@ -109,7 +109,7 @@
   void on(const ScaleInLoaded& event, Time now);
   void on(const LoadCompleted& event, Time now);
   void on(const JobSubmitted& event, Time now);
-  void on(const JobRecordRemoved& event, Time now);
+  void on(const JobRecordDeleted& event, Time now);
   void on(const WriteApplied& event, Time now);
   void on(const WriteConflicted& event, Time now);
   void on(const WriteRejected& event, Time now);
--- a/src/core/machine.cpp
+++ b/src/core/machine.cpp
@@ -11,26 +11,26 @@
                      [&](const CachedImage& image) { return image.name == name; });
 }
 
-void Machine::note_image(const CachedImage& image, std::optional<double> cache_gb) {
+void Machine::record_image_use(const CachedImage& image, std::optional<double> cache_gb) {
   if (!images.empty() && images.back().name == image.name) return;
-  std::erase_if(images, [&](const CachedImage& each) { return each.name == image.name; });
+  std::erase_if(images, [&](const CachedImage& cached) { return cached.name == image.name; });
   images.push_back(image);
   if (!cache_gb) return;
-  double held_gb = 0;
-  for (const auto& each : images) held_gb += each.size_gb;
-  while (held_gb > *cache_gb && images.size() > 1) {
-    held_gb -= images.front().size_gb;
+  double cached_gb = 0;
+  for (const auto& cached : images) cached_gb += cached.size_gb;
+  while (cached_gb > *cache_gb && images.size() > 1) {
+    cached_gb -= images.front().size_gb;
     images.erase(images.begin());
   }
 }
 
-bool Machine::fetches_image(const std::string& name) const {
+bool Machine::has_task_with_image(const std::string& name) const {
   return std::any_of(assignments.begin(), assignments.end(),
                      [&](const AssignedTask& task) { return task.job->spec.image == name; });
 }
 
-bool Machine::reserved_against(const Job& job, Time now) const {
-  if (in_gang_reserve && !job.is_gang() && now - job.queued_since < constants::kGangReserveWait) return true;
+bool Machine::reserved_for_other(const Job& job, Time now) const {
+  if (in_gang_reserve && !job.is_gang() && now - job.queued_at < constants::kGangReserveWait) return true;
   return reserved_for_gang != 0 && reserved_for_gang != job.serial;
 }
 
--- a/src/core/machine.hpp
+++ b/src/core/machine.hpp
@@ -1,4 +1,4 @@
-// A rented machine and its worker, as the leader knows them.
+// The leader's model of a machine and its worker.
 #pragma once
 
 #include <cstddef>
@@ -15,19 +15,20 @@
 
 namespace dockdyke::core {
 
-enum class MachineState { booting, up, gone };
+// `failed`: the machine has stopped by itself.
+enum class MachineState { booting, up, failed };
 
-// The number of a machine type that the cloud has not described.
+// The number of an unknown machine type.
 inline constexpr std::size_t kNoType = std::numeric_limits<std::size_t>::max();
 
-// One attempt of a task, as workers name it.
+// Identifies one attempt of a task in messages to and from workers.
 struct TaskAttempt {
   wire::TaskId task;
   Attempt attempt = 0;
   bool operator==(const TaskAttempt&) const = default;
 };
 
-// An image that the machine has, or had when a task was last seen running with it.
+// An image that is assumed to be in the machine's cache, since a task with it was observed running there.
 struct CachedImage {
   std::string name;
   double size_gb = 0;
@@ -41,62 +42,65 @@
   bool spot = false;
   std::string worker_address;
   MachineState state = MachineState::booting;
-  Time rented_at = 0;
+  Time launched_at = 0;  // the earliest time at which it is known to have existed
 
   // ---- The worker's heartbeats ----
   std::uint64_t incarnation = 0;
   std::uint64_t sequence_number = 0;
-  bool token_acknowledged = false;    // its present incarnation has shown this leader's token
-  std::uint64_t heartbeat_count = 0;  // accepted since it acknowledged the token
+  bool token_acknowledged = false;    // its current incarnation has echoed this leader's token
+  std::uint64_t heartbeat_count = 0;  // heartbeats accepted since it acknowledged the token
   Time last_heartbeat_at = 0;
   Time last_response_at = 0;
-  // Its last heartbeat has not been answered yet, so commands can be sent now.
+  // Its last heartbeat has no response yet, so commands can be sent.
   bool response_pending = false;
-  // Heartbeats in a row which show that a response had no effect, and since when.
+  // Consecutive heartbeats whose token shows that the previous response did not arrive, and the time of the
+  // first of them.
   std::uint32_t undelivered_responses = 0;
-  Time undelivered_since = 0;
-  std::optional<Time> terminates_at;  // announced by the cloud
+  Time first_undelivered_at = 0;
+  std::optional<Time> terminates_at;  // end of the termination notice, if there is one
 
   // ---- Its tasks ----
   std::vector<AssignedTask> assignments;
   wire::Resources used;
-  // What the last heartbeat showed besides the assignments: exited tasks, and tasks that no record assigns.
+  // Tasks in the last heartbeat that are not assigned here: exited tasks and unknown ones.
   std::vector<wire::ReportedTask> unassigned_tasks;
-  std::vector<TaskAttempt> acknowledged_exits;  // in the last response
-  bool runs_unknown_tasks = false;              // `unassigned_tasks` has some that have not exited
+  std::vector<TaskAttempt> acknowledged_exits;  // acknowledged in the last response
+  bool runs_unknown_tasks = false;              // `unassigned_tasks` has a task that has not exited
 
   // ---- The cloud's list ----
-  bool listed = false;      // some list has shown it
-  int missed_listings = 0;  // lists in a row that did not show it since
+  bool listed = false;      // it has appeared in a machine list
+  int missed_listings = 0;  // consecutive lists without it since then
 
   // ---- Its health ----
-  bool draining = false;            // gets no more tasks and is returned when it is empty
-  bool scale_in_requested = false;  // its deletion is recorded or on the way
-  // Jobs that failed here and on no other machine since a task last completed here, and when.
+  bool draining = false;            // gets no further tasks and is deleted once it has none
+  bool scale_in_requested = false;  // its deletion has been requested
+  // Jobs whose failures are attributed to this machine, with the time of the latest attribution. Cleared when
+  // a task completes here.
   std::map<JobId, Time> failed_jobs;
-  // Completed tasks in a row that took far longer than others of their jobs.
+  // Consecutive completed tasks that ran far longer than other tasks of their jobs.
   std::uint32_t straggler_signs = 0;
-  Time assignments_paused_until = 0;
+  Time assignments_resume_at = 0;
 
   // ---- Its free capacity ----
-  std::uint32_t reserved_for_gang = 0;  // serial of a waiting gang; 0: none
+  std::uint32_t reserved_for_gang = 0;  // serial of the gang that has reserved the machine; 0: none
   Time reservation_expires_at = 0;
-  bool in_gang_reserve = false;  // held for gangs that are expected
-  Time idle_since = 0;
-  std::vector<CachedImage> images;  // the most recently used last
+  bool in_gang_reserve = false;  // part of the capacity reserve for expected gangs
+  Time became_idle_at = 0;
+  std::vector<CachedImage> images;  // ordered by last use, the most recent at the end
 
   bool has_image(const std::string& name) const;
-  // Records that a task with this image runs, within the type's cache size (GB; nothing: unknown).
-  void note_image(const CachedImage& image, std::optional<double> cache_gb);
-  // A task with this image is assigned here, so that the image is there or on its way.
-  bool fetches_image(const std::string& name) const;
-  // Its capacity is set aside for a gang other than this job. Jobs that have waited long enough may use what
-  // is held for expected gangs.
-  bool reserved_against(const Job& job, Time now) const;
+  // Records that a task with this image runs here and evicts the least recently used images that exceed
+  // `cache_gb`. With std::nullopt, the cache size is unknown and nothing is evicted.
+  void record_image_use(const CachedImage& image, std::optional<double> cache_gb);
+  // Returns whether a task with this image is assigned here, so that the image is cached or being fetched.
+  bool has_task_with_image(const std::string& name) const;
+  // Returns whether its capacity is reserved for a job other than `job`. The capacity reserve for expected
+  // gangs is open to gangs, and to other jobs after `kGangReserveWait`.
+  bool reserved_for_other(const Job& job, Time now) const;
 };
 
-// Orders machines by id: an order that does not depend on where they are in memory.
-struct ById {
+// Orders machines by id, so that iteration does not depend on their addresses.
+struct MachineIdLess {
   bool operator()(const Machine* a, const Machine* b) const { return a->id < b->id; }
 };
 
--- a/src/core/machine_health.cpp
+++ b/src/core/machine_health.cpp
@@ -37,12 +37,12 @@
   machine.failed_jobs.clear();
   // The job does run, so the machines on which it failed are at fault.
   blame_machines(job, now);
-  job.failures = 0;
+  job.consecutive_failures = 0;
   job.failed_machines.clear();
 }
 
 void MachineHealth::record_failure(Job& job, Machine& machine, Time now) {
-  ++job.failures;
+  ++job.consecutive_failures;
   job.failed_machines.insert(machine.id);
   if (job.failed_machines.size() == 1) {
     machine.failed_jobs[job.spec.id] = now;
@@ -53,7 +53,7 @@
   if (job.failed_machines.size() < constants::kSuspectJobMachines) return;
   const double doublings =
       std::min<double>(6, static_cast<double>(job.failed_machines.size() - constants::kSuspectJobMachines));
-  job.backoff_until =
+  job.backoff_ends_at =
       now + std::min(constants::kErrorBackoffMax, constants::kErrorBackoffInitial * std::exp2(doublings + 1));
 }
 
@@ -82,8 +82,8 @@
   for (const auto& task : machine.assignments) {
     const TaskAssignment& assignment = task.assignment();
     // Only first attempts count: a task that simply takes long must not be moved for ever.
-    if (assignment.running_since == 0 || assignment.stopping || assignment.attempt > 1) continue;
-    const double ran_s = now - assignment.running_since;
+    if (assignment.run_started_at == 0 || assignment.stopping || assignment.attempt > 1) continue;
+    const double ran_s = now - assignment.run_started_at;
     if (exceeds_typical_run(*task.job, ran_s, constants::kStragglerFactor)) ++signs;
     if (exceeds_typical_run(*task.job, ran_s, constants::kCertainStragglerFactor))
       signs += constants::kStragglerSignsThreshold;
@@ -103,7 +103,7 @@
     // A task that is nearly through even so had better go on; one that saves checkpoints loses little.
     const bool far_from_done =
         assignment.ran_s(now) < constants::kCertainStragglerFactor * task.job->mean_run_s();
-    if (spec.checkpoint_interval_s > 0 || far_from_done) assignment.stop(spec.checkpoint_duration_s);
+    if (spec.checkpoint_interval_s > 0 || far_from_done) assignment.request_stop(spec.checkpoint_duration_s);
   }
 }
 
--- a/src/core/machine_inventory.cpp
+++ b/src/core/machine_inventory.cpp
@@ -26,13 +26,13 @@
   Machine& machine = state_.find_or_add_machine(listed.id, now);
   if (!machine.listed) {
     machine.listed = true;
-    machine.rented_at = std::min(machine.rented_at, now - listed.age_s);
+    machine.launched_at = std::min(machine.launched_at, now - listed.age_s);
     if (machine.type.empty()) state_.set_offering(machine, listed.type, listed.zone, listed.spot);
   }
   machine.missed_listings = 0;
   if (listed.state == wire::InstanceState::failed) {
     lifecycle_.release_all(machine, now);
-    machine.state = MachineState::gone;
+    machine.state = MachineState::failed;
     return !machine.scale_in_requested;
   }
   if (listed.state == wire::InstanceState::running && machine.state == MachineState::booting) {
@@ -50,7 +50,7 @@
     if (state_.recently_deleted(id)) continue;
     Machine& machine = state_.find_or_add_machine(id, now);
     state_.set_offering(machine, request.type, request.zone, request.spot);
-    machine.rented_at = std::min(machine.rented_at, pending->since);
+    machine.launched_at = std::min(machine.launched_at, pending->since);
   }
 }
 
--- a/src/core/placement_cost.cpp
+++ b/src/core/placement_cost.cpp
@@ -25,7 +25,7 @@
   if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCost;
   if (!machine.has_image(spec.image)) {
     const double fetch = fetch_s(job, machine);
-    cost += machine.fetches_image(spec.image) ? fetch * constants::kSharedImageFetchShare : fetch;
+    cost += machine.has_task_with_image(spec.image) ? fetch * constants::kSharedImageFetchShare : fetch;
   }
   return cost;
 }
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -112,7 +112,8 @@
     if (plan.above_low_priority && found.capacity_coming) continue;
     found.capacity_coming = true;
     const std::size_t tasks = std::min(found.wanted, plan.tasks);
-    for (const auto& victim : plan.victims) victim.assignment().stop(victim.job->spec.checkpoint_duration_s);
+    for (const auto& victim : plan.victims)
+      victim.assignment().request_stop(victim.job->spec.checkpoint_duration_s);
     claimed[plan.machine] += task_resources * static_cast<double>(tasks);
     found.wanted -= tasks;
   }
@@ -126,8 +127,8 @@
 }
 
 bool Preemption::waits_long_enough(const Job& job, Time now) const {
-  return job.waiting_tasks() > 0 && now >= job.backoff_until &&
-         now - job.queued_since >= constants::kPreemptionDelay && constraints_.quota_headroom(job) > 0;
+  return job.waiting_tasks() > 0 && now >= job.backoff_ends_at &&
+         now - job.queued_at >= constants::kPreemptionDelay && constraints_.quota_headroom(job) > 0;
 }
 
 void Preemption::run(Time now) {
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -35,7 +35,7 @@
     bool above_low_priority = false;  // some victim is more than work for idle hours
   };
   // Capacity that is or will be there for jobs ahead in the queue.
-  using ClaimedCapacity = std::map<const Machine*, wire::Resources, ById>;
+  using ClaimedCapacity = std::map<const Machine*, wire::Resources, MachineIdLess>;
   // What one waiting job finds.
   struct Search {
     std::size_t wanted = 0;        // tasks
--- a/src/core/reconciler.cpp
+++ b/src/core/reconciler.cpp
@@ -50,7 +50,7 @@
 void Reconciler::update_connection(Machine& machine, const wire::Heartbeat& heartbeat, Time now) {
   if (machine.state != MachineState::up) {
     machine.state = MachineState::up;
-    machine.idle_since = now;
+    machine.became_idle_at = now;
   }
   state_.set_offering(machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
   const bool was_answered = machine.last_response_at > 0 && !machine.response_pending;
@@ -58,7 +58,7 @@
   machine.incarnation = heartbeat.incarnation;
   machine.sequence_number = heartbeat.sequence_number;
   machine.last_heartbeat_at = now;
-  state_.expect_response(machine);
+  state_.mark_response_pending(machine);
   if (machine.worker_address != heartbeat.address) machine.worker_address = heartbeat.address;
   if (heartbeat.termination_notice_s) machine.terminates_at = now + *heartbeat.termination_notice_s;
   machine.token_acknowledged = heartbeat.token == state_.token();
@@ -71,7 +71,7 @@
 }
 
 void Reconciler::count_undelivered_response(Machine& machine, Time now) {
-  if (machine.undelivered_responses++ == 0) machine.undelivered_since = now;
+  if (machine.undelivered_responses++ == 0) machine.first_undelivered_at = now;
 }
 
 // ---- Tasks ------------------------------------------------------------------------------------------------
@@ -152,13 +152,13 @@
   assignment.adopted = false;
   if (reported.state == TaskState::exited) return;
   assignment.state = reported.state;
-  if (reported.state != TaskState::running || assignment.running_since != 0) return;
-  assignment.running_since = now;
+  if (reported.state != TaskState::running || assignment.run_started_at != 0) return;
+  assignment.run_started_at = now;
   job.started = true;
   if (job.gang.started_at == 0) job.gang.started_at = now;
   const auto* type = state_.type_of(machine);
-  machine.note_image({job.spec.image, job.spec.image_gb},
-                     type ? std::optional(type->cache_gb) : std::nullopt);
+  machine.record_image_use({job.spec.image, job.spec.image_gb},
+                           type ? std::optional(type->cache_gb) : std::nullopt);
 }
 
 std::vector<AssignedTask> Reconciler::release_absent_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
@@ -215,12 +215,12 @@
         health_.record_failure(job, machine, now);
       break;
     case ExitCause::no_room:
-      machine.assignments_paused_until = now + constants::kNoCapacityBackoff;
+      machine.assignments_resume_at = now + constants::kNoCapacityBackoff;
       break;
     case ExitCause::unknown_job:
-      ++job.failures;
-      job.backoff_until =
-          now + std::min(constants::kErrorBackoffMax, constants::kErrorBackoffInitial * job.failures);
+      ++job.consecutive_failures;
+      job.backoff_ends_at = now + std::min(constants::kErrorBackoffMax,
+                                           constants::kErrorBackoffInitial * job.consecutive_failures);
       break;
     case ExitCause::stopped:
     case ExitCause::busy:
@@ -238,8 +238,8 @@
   ++job.done_count;
   job.started = true;
   task_log_.request_segment();  // the worker may forget the result only when it is stored
-  if (assignment.running_since > assignment.assigned_at && assignment.dispatched) {
-    const double run_s = now - assignment.running_since;
+  if (assignment.run_started_at > assignment.assigned_at && assignment.dispatched) {
+    const double run_s = now - assignment.run_started_at;
     run_time_estimator_.observe(job.spec.job_class, job.spec.estimated_run_s, run_s);
     health_.record_run_time(job, machine, assignment.attempt, run_s);
   }
@@ -257,7 +257,7 @@
   for (auto& task : job.tasks) task.done = true;
   job.done_count = job.spec.task_count;
   job.started = true;
-  job.failures = 0;
+  job.consecutive_failures = 0;
   job.failed_machines.clear();
   writes_.request_terminal_record(job);
   queue_.invalidate();
--- a/src/core/scheduling_constraints.cpp
+++ b/src/core/scheduling_constraints.cpp
@@ -14,7 +14,7 @@
 
 bool SchedulingConstraints::boots_late(const Machine& machine, Time now) const {
   const auto* type = state_.type_of(machine);
-  return type && now - machine.rented_at > constants::kLateBootFactor * type->boot_s;
+  return type && now - machine.launched_at > constants::kLateBootFactor * type->boot_s;
 }
 
 bool SchedulingConstraints::accepts_work(const Machine& machine, Time now) const {
@@ -22,7 +22,7 @@
          !machine.scale_in_requested && !machine.terminates_at && !machine.runs_unknown_tasks &&
          machine.failed_jobs.size() < constants::kFaultyMachineJobs &&
          machine.undelivered_responses < constants::kUndeliveredResponsesThreshold &&
-         now >= machine.assignments_paused_until && !silent(machine, now);
+         now >= machine.assignments_resume_at && !silent(machine, now);
 }
 
 wire::Resources SchedulingConstraints::free_capacity(const Machine& machine) const {
--- a/src/core/state_keys.cpp
+++ b/src/core/state_keys.cpp
@@ -18,7 +18,7 @@
 }
 
 std::string segment(FencingToken token, std::uint64_t number) {
-  // All digits of 64 bits, so that the order of the text is the order of the numbers.
+  // Zero-padded to the length of the largest 64-bit number, so that the keys sort numerically.
   constexpr int kDigits = 20;
   std::ostringstream out;
   out << kSegmentPrefix << std::setfill('0') << std::setw(kDigits) << token.value << '-' << std::setw(kDigits)
--- a/src/core/state_keys.hpp
+++ b/src/core/state_keys.hpp
@@ -1,7 +1,6 @@
-// The keys of the state service under which controllers keep their records.
+// Keys of the records in the state service.
 //
-// The strings are part of the stored format: controllers of the version in production read and write the same
-// keys.
+// The strings are part of the stored format, which is shared with controllers of the previous version.
 #pragma once
 
 #include <cstdint>
@@ -20,16 +19,16 @@
 inline const std::string kGangPrefix = "gang/";
 inline const std::string kMachineTypes = "types";
 
-// A job that is neither done nor cancelled.
+// Key of the record of a job that is neither done nor cancelled.
 std::string active_job(const JobId& id);
-// A job that is done or cancelled.
+// Key of the record of a job that is done or cancelled.
 std::string terminal_job(const JobId& id);
-// A cancelled job some of whose tasks may still be on machines.
+// Key of the record of a cancelled job whose tasks may still run.
 std::string terminating_job(const JobId& id);
-// A segment of the task log. The order of the keys is the order of writing: tokens of later leaders are
-// higher.
+// Key of a segment of the task log. The keys sort in the order of writing, since each leader has a higher
+// token than the previous one.
 std::string segment(FencingToken token, std::uint64_t number);
-// One part of the record of a gang's attempt.
+// Key of one part of the record of a gang's attempt.
 std::string gang_part(const JobId& id, Attempt attempt, std::uint32_t part);
 
 }  // namespace dockdyke::core::key
--- a/src/core/state_recovery.cpp
+++ b/src/core/state_recovery.cpp
@@ -40,8 +40,8 @@
   job->gang.keys.push_back(event.key);
   LoadedGang& loaded = loaded_gangs_[job->serial];
   if (event.part.attempt < loaded.attempt) return;
-  if (event.part.attempt > loaded.attempt) loaded = {event.part.attempt, event.part.parts, 0, {}};
-  ++loaded.parts_loaded;
+  if (event.part.attempt > loaded.attempt) loaded = {event.part.attempt, event.part.part_count, 0, {}};
+  ++loaded.loaded_parts;
   loaded.tasks.insert(loaded.tasks.end(), event.part.tasks.begin(), event.part.tasks.end());
 }
 
@@ -97,11 +97,11 @@
   if (found == loaded_gangs_.end()) return;
   const LoadedGang& loaded = found->second;
   job.gang.attempt = loaded.attempt;
-  // Every part is stored before the first start: with one missing, nothing was started under this number. It
-  // is not used again, since a part may still be on its way to the state service.
-  if (loaded.parts_loaded != loaded.parts) return;
-  job.gang.parts = loaded.parts;
-  job.gang.confirmed = loaded.parts;
+  // All parts are durable before any task of the attempt is dispatched, so with a part missing no task was
+  // started. The attempt number is not reused, since a write of a missing part may still be in flight.
+  if (loaded.loaded_parts != loaded.part_count) return;
+  job.gang.part_count = loaded.part_count;
+  job.gang.confirmed_parts = loaded.part_count;
   job.gang.assigned_at = now;
   job.next_unattempted = job.spec.task_count;
   for (const auto& task : loaded.tasks)
--- a/src/core/state_recovery.hpp
+++ b/src/core/state_recovery.hpp
@@ -1,8 +1,8 @@
-// Takes over the tasks of earlier leaders from their stored records.
+// Recovers the tasks of previous leaders from stored records.
 //
-// Records come in this order: jobs, segments of the task log in the order of their keys, parts of gang
-// records. `complete` then adopts every task that may be on a machine; until it is observed or proved gone it
-// occupies its place.
+// Records are loaded in this order: jobs, segments of the task log in the order of their keys, parts of gang
+// records. `complete` then adopts every task that may be running. An adopted task occupies its machine's
+// capacity until it is confirmed ended.
 #pragma once
 
 #include <cstddef>
@@ -26,15 +26,15 @@
 
   void load(const SegmentLoaded& event);
   void load(const GangPartLoaded& event);
-  // All records have been read.
+  // Adopts the loaded tasks after all records have been loaded.
   void complete(Time now);
 
  private:
-  // The newest attempt of a gang that has been read.
+  // The newest attempt of a gang among the loaded records.
   struct LoadedGang {
     Attempt attempt = 0;
-    std::uint32_t parts = 0;
-    std::uint32_t parts_loaded = 0;
+    std::uint32_t part_count = 0;
+    std::uint32_t loaded_parts = 0;
     std::vector<TaskRecord> tasks;
   };
 
--- a/src/core/stored_records.hpp
+++ b/src/core/stored_records.hpp
@@ -1,4 +1,4 @@
-// All stored records and their keys.
+// Includes all stored records and their keys.
 #pragma once
 
 #include "core/job_records.hpp"
--- a/src/core/task_lifecycle.cpp
+++ b/src/core/task_lifecycle.cpp
@@ -22,7 +22,7 @@
   if (!job.complete()) task_log_.mark_unpersisted(job, index);
   if (job.tasks[index].done || job.cancelled) return;
   if (job.waiting_tasks() == 0) {
-    job.queued_since = now;
+    job.queued_at = now;
     queue_.invalidate();
   }
   job.requeued.insert(index);
@@ -61,7 +61,7 @@
   // Also where the start command is still in flight: the stop command is repeated until the task is proved
   // gone.
   for (auto& [index, assignment] : job.assignments)
-    if (!assignment.never_dispatched()) assignment.stop(0);
+    if (!assignment.never_dispatched()) assignment.request_stop(0);
   release_undispatched(job, now);
   job.requeued.clear();
   job.next_unattempted = job.spec.task_count;
@@ -113,7 +113,7 @@
   job.gang.failure_counted = false;
   job.requeued.clear();
   job.next_unattempted = 0;
-  job.queued_since = now;
+  job.queued_at = now;
   queue_.invalidate();
 }
 
@@ -122,7 +122,7 @@
     Job* job = state_.find_job(serial);
     if (!job || !job->gang.aborted || !job->unfinished()) continue;
     for (auto& [index, assignment] : job->assignments)
-      if (!assignment.never_dispatched() && !assignment.stopping) assignment.stop(0);
+      if (!assignment.never_dispatched() && !assignment.stopping) assignment.request_stop(0);
     release_undispatched(*job, now);
   }
 }
--- a/src/core/task_placer.cpp
+++ b/src/core/task_placer.cpp
@@ -69,12 +69,12 @@
   for (const auto& queued : queue) {
     Job& job = *queued.job;
     state_.count_scanned(1);
-    if (job.waiting_tasks() == 0 || now < job.backoff_until || !may_fit(job, pass)) continue;
+    if (job.waiting_tasks() == 0 || now < job.backoff_ends_at || !may_fit(job, pass)) continue;
     if (job.is_gang()) {
       if (!any_image) gang_scheduler_.assign(job, pass.machines, now);
       continue;
     }
-    const bool waited_for_image = now - job.queued_since >= constants::kImageLocalityDelay;
+    const bool waited_for_image = now - job.queued_at >= constants::kImageLocalityDelay;
     const std::size_t limit = constants::kMaxAssignmentsPerPass - pass.assigned;
     const std::size_t assigned = assign_job(
         queued, pass.machines, any_image || queued.latency_critical || waited_for_image, limit, now);
@@ -98,15 +98,15 @@
   const double largest_cpus = state_.largest_cpus();
   // Within a round all machines send a heartbeat, and the better ones among them may suffice. Strewn over
   // whatever came first, the work of a quiet hour kept the whole fleet up.
-  const double waited_s = now - job.queued_since;
+  const double waited_s = now - job.queued_at;
   const bool wait_for_better =
       !queued.latency_critical && job.spec.spot_allowed && waited_s < constraints_.heartbeat_round_s();
   std::vector<Candidate> candidates;
   for (Machine* machine : machines) {
     state_.count_scanned(1);
-    if (avoided.contains(machine->type_number) || machine->reserved_against(job, now)) continue;
+    if (avoided.contains(machine->type_number) || machine->reserved_for_other(job, now)) continue;
     if (wait_for_better && !queue_.tiers().open(*machine)) continue;
-    if (!any_image && !machine->has_image(image) && !machine->fetches_image(image)) continue;
+    if (!any_image && !machine->has_image(image) && !machine->has_task_with_image(image)) continue;
     if (const auto cost = cost_.of(job, *machine, largest_cpus)) candidates.push_back({*cost, machine});
   }
   std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
--- a/src/core/task_records.hpp
+++ b/src/core/task_records.hpp
@@ -1,4 +1,4 @@
-// Stored records of tasks: segments of the task log and the records of gang attempts.
+// Stored records of tasks: segments of the task log and records of gang attempts.
 #pragma once
 
 #include <cstddef>
@@ -11,39 +11,38 @@
 
 namespace dockdyke::core {
 
-// One task as recorded: the last attempt, where it may be, and whether it has completed.
+// The stored state of a task: its last attempt, its machine and whether it has completed.
 struct TaskRecord {
   TaskIndex index = 0;
   Attempt attempt = 0;
-  MachineId machine;  // empty: on no machine
+  MachineId machine;  // empty: not assigned
   bool done = false;
   bool operator==(const TaskRecord&) const = default;
 };
 
-// What a segment of the task log holds.
+// The content of a segment of the task log.
 using SegmentRecord = std::map<JobId, std::vector<TaskRecord>>;
 
-// One part of the record of a gang's attempt: the machines of some of its tasks. The records have a prefix of
-// their own, which earlier versions neither read nor delete.
+// One part of the record of a gang's attempt: the machines of some of its tasks.
 struct GangPart {
   JobId job;
   Attempt attempt = 0;
-  std::uint32_t part = 0;   // from 0
-  std::uint32_t parts = 1;  // of the whole attempt
+  std::uint32_t part_index = 0;  // from 0
+  std::uint32_t part_count = 1;  // parts of the whole record
   std::vector<TaskRecord> tasks;
 };
 
 // The parsers throw `wire::Malformed`.
 
-// Tasks of one job as they stand in a segment: runs of neighbours are written as ranges.
+// The entry of one job in a segment. Tasks with consecutive indices are written as ranges.
 wire::Json to_json(const std::vector<TaskRecord>& tasks);
 wire::Json to_json(const SegmentRecord& segment);
 SegmentRecord parse_segment(const wire::Json& value);
 wire::Json to_json(const GangPart& part);
-// Job, attempt and the number of the part are in the key.
+// Job, attempt and part index are taken from the key.
 GangPart parse_gang_part(std::string_view key, const wire::Json& value);
 
-// Splits an attempt's tasks so that no part's value is larger than `max_value_bytes`.
+// Splits an attempt's tasks into parts whose values are no larger than `max_value_bytes`.
 std::vector<GangPart> split_gang(const JobId& id, Attempt attempt, const std::vector<TaskRecord>& tasks,
                                  std::size_t max_value_bytes);
 
--- a/src/core/time.hpp
+++ b/src/core/time.hpp
@@ -1,9 +1,9 @@
-// The clock of the leader's state machine.
+// Time type of the leader's state machine.
 #pragma once
 
 namespace dockdyke::core {
 
-// Seconds on this controller's steady clock. Only differences have a meaning outside of the process.
+// Seconds on this controller's steady clock. The epoch is arbitrary; only differences are meaningful.
 using Time = double;
 
 }  // namespace dockdyke::core
--- a/src/core/views.hpp
+++ b/src/core/views.hpp
@@ -1,4 +1,4 @@
-// What the leader's state machine tells its owner, for responses, users and the log.
+// Read-only results of the leader's state machine, used for responses and the log.
 #pragma once
 
 #include <cstddef>
@@ -7,73 +7,73 @@
 
 namespace dockdyke::core {
 
-// What became of a heartbeat.
+// The result of applying a heartbeat.
 enum class HeartbeatOutcome {
   accepted,
-  stale,       // older than one that was accepted, or of a machine that was deleted
-  superseded,  // the worker has seen a higher fencing token: another controller leads
+  stale,       // older than an accepted one, or from a deleted machine
+  superseded,  // the worker has seen a higher fencing token: there is a newer leader
 };
 
-// Why the response to a heartbeat should wait a little.
+// Why the response to a heartbeat should be delayed.
 enum class ResponseHold {
   none,
-  awaiting_write,  // a write on its way will allow further commands
-  awaiting_work,  // the machine has capacity and nothing to be told; work that comes meanwhile starts at once
+  awaiting_write,  // a write in flight will allow further commands
+  awaiting_work,   // no commands and free capacity: a task assigned meanwhile can start at once
 };
 
-// What users are told of a job that is not over.
+// State of an active job as shown to users.
 struct JobProgress {
-  Revision version;  // of the job's stored record
+  Revision version;  // of the job's active record
   wire::JobStatus status;
 };
 
-// Counts of the last run of the autoscaler.
+// Machine and task counts of the last autoscaler run.
 struct FleetSummary {
   std::size_t machines = 0;
   std::size_t booting = 0;
-  std::size_t overwhelmed = 0;
-  std::size_t underwhelmed = 0;
-  std::size_t free = 0;
+  std::size_t saturated = 0;            // CPUs or memory nearly fully used
+  std::size_t scale_in_candidates = 0;  // idle for long enough to be deleted
+  std::size_t free = 0;                 // idle or booting
   std::size_t waiting_tasks = 0;
 };
 
-// Task assignments by how far they have come.
+// Numbers of task assignments by state.
 struct AssignmentCounts {
   std::size_t never_dispatched = 0;
   std::size_t fetching = 0;
   std::size_t running = 0;
 };
 
-// What happened to a cancelled job that had tasks on machines.
+// A step in the cancellation of a job that had tasks on machines.
 struct CancellationReport {
   enum class Kind {
-    known,      // this leader knows of the cancellation and of tasks that may still run
+    known,      // this leader was notified of the cancellation, and tasks may still run
     stop_sent,  // a response to `machine` carries a stop command
     at_risk,    // little time is left, and tasks may still run
-    ended,      // no task is on a machine any more
+    ended,      // all tasks are confirmed ended
   };
   Kind kind = Kind::known;
   JobId job;
-  double time_left_s = 0;         // until its tasks must be gone
-  std::size_t tasks = 0;          // that may still be on machines
-  std::size_t machines = 0;       // on which they may be
-  std::size_t stops_sent = 0;     // by this leader; with `stop_sent`, in this response
-  std::size_t tasks_deleted = 0;  // that went with their machines
-  // Of the machines, the one whose last heartbeat is the oldest; with `stop_sent` the one that is answered.
+  double time_left_s = 0;         // until its tasks must have ended
+  std::size_t tasks = 0;          // tasks that may still run
+  std::size_t machines = 0;       // machines on which they may run
+  std::size_t stops_sent = 0;     // stop commands sent by this leader; with `stop_sent`, in this response
+  std::size_t tasks_deleted = 0;  // tasks confirmed ended by the deletion of their machine
+  // The machine with the oldest last heartbeat; with `stop_sent`, the one that the response goes to.
   MachineId machine;
-  double unheard_s = 0;  // since its last heartbeat, or since this leader first knew of it
+  double time_since_heartbeat_s = 0;  // or since this leader added the machine
   bool token_acknowledged = false;
   bool deletion_requested = false;
 };
 
-// Cancelled jobs with tasks that may still be on machines.
+// Totals of the cancelled jobs whose tasks may still run.
 struct CancellationSummary {
   std::size_t jobs = 0;
   std::size_t tasks = 0;
   double least_time_left_s = 0;
 };
 
-// How the machines of one offering are used.
+// Utilization of the machines of one offering.
 struct OfferingUsage {
   std::size_t machines = 0;
   std::size_t booting = 0;
--- a/src/core/worker_commands.cpp
+++ b/src/core/worker_commands.cpp
@@ -93,7 +93,7 @@
 }
 
 void WorkerCommands::response_sent(const MachineId& id, Time now) {
-  if (Machine* machine = state_.find_machine(id)) state_.response_sent(*machine, now);
+  if (Machine* machine = state_.find_machine(id)) state_.mark_response_sent(*machine, now);
 }
 
 bool WorkerCommands::has_lasting_capacity(const Machine& machine, Time now) const {
--- a/tests/core/cancellation_tracker_test.cpp
+++ b/tests/core/cancellation_tracker_test.cpp
@@ -16,7 +16,7 @@
     exchange(worker);
     worker.shows("job-1", 0, 1, wire::TaskState::running);
     exchange(worker);
-    cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
+    cluster.apply(JobRecordDeleted{JobId("job-1")}, now);
   }
 
   std::vector<Kind> reported_kinds() {
@@ -49,7 +49,7 @@
   EXPECT_EQ(reports[0].kind, Kind::at_risk);
   EXPECT_EQ(reports[0].machine, MachineId("n-1"));
   EXPECT_LT(reports[0].time_left_s, timeout_s / 3);
-  EXPECT_GT(reports[0].unheard_s, timeout_s / 2);
+  EXPECT_GT(reports[0].time_since_heartbeat_s, timeout_s / 2);
   pass(3);
   EXPECT_TRUE(reported_kinds().empty());
 }
@@ -71,7 +71,7 @@
   second.shows("job-2", 0, 1, wire::TaskState::running);
   second.shows("job-2", 1, 1, wire::TaskState::running);
   exchange(second);
-  cluster.apply(JobRecordRemoved{JobId("job-2")}, now);
+  cluster.apply(JobRecordDeleted{JobId("job-2")}, now);
   reported_kinds();
   exchange(second);
   const auto reports = cluster.take_cancellation_reports();
--- a/tests/core/gang_scheduling_test.cpp
+++ b/tests/core/gang_scheduling_test.cpp
@@ -260,7 +260,7 @@
   show(two, TaskState::exited, ExitCause::error);
   exchange(one);
   exchange(two);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->failures, 1u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->consecutive_failures, 1u);
   EXPECT_EQ(cluster.machine(MachineId("n-1"))->failed_jobs.size(), 1u);
   EXPECT_TRUE(cluster.machine(MachineId("n-2"))->failed_jobs.empty());
 }
@@ -271,7 +271,7 @@
   show(two, TaskState::exited, ExitCause::gang_incomplete);
   exchange(one);
   exchange(two);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->failures, 0u);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->consecutive_failures, 0u);
   EXPECT_TRUE(cluster.machine(MachineId("n-1"))->failed_jobs.empty());
   EXPECT_TRUE(cluster.machine(MachineId("n-2"))->failed_jobs.empty());
 }
--- a/tests/core/machine_health_test.cpp
+++ b/tests/core/machine_health_test.cpp
@@ -27,7 +27,7 @@
     TaskAssignment assignment;
     assignment.machine = &on;
     assignment.attempt = attempt;
-    assignment.running_since = now - ran_s;
+    assignment.run_started_at = now - ran_s;
     state.begin_assignment(of, 3, assignment);
     return of.assignments.at(3);
   }
@@ -71,7 +71,7 @@
   health.record_success(broken_twice, machine("n-3"), now);
   EXPECT_EQ(one.failed_jobs.size(), 1u);
   EXPECT_EQ(two.failed_jobs.size(), 1u);
-  EXPECT_EQ(broken_twice.failures, 0u);
+  EXPECT_EQ(broken_twice.consecutive_failures, 0u);
 }
 
 TEST_F(MachineHealthTest, AJobThatFailsEverywhereIsRetriedEverMoreRarely) {
@@ -79,7 +79,7 @@
   double last_s = 0;
   for (int i = 1; i <= 8; ++i) {
     health.record_failure(broken, machine("n-" + std::to_string(i)), now);
-    const double backoff_s = broken.backoff_until - now;
+    const double backoff_s = broken.backoff_ends_at - now;
     if (i < static_cast<int>(constants::kSuspectJobMachines)) {
       EXPECT_LE(backoff_s, 0);
       continue;
--- a/tests/core/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -95,7 +95,7 @@
   const auto rents = seen<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_EQ(rents[0].request.id, ScaleOutId("r-20-1"));
-  EXPECT_TRUE(rents[0].recorded);
+  EXPECT_TRUE(rents[0].persisted);
   cluster.apply(ScaleOutGranted{ScaleOutId("r-20-1"), {MachineId("n-1"), MachineId("n-2")}}, now);
   submit(job_spec("job-1", 4));
   pass(10);
@@ -155,7 +155,7 @@
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_TRUE(rents[0].request.spot);
   cluster.apply(ScaleOutRefused{rents[0].request.id}, now);
-  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
+  cluster.apply(JobRecordDeleted{JobId("job-1")}, now);
   worker.tasks.clear();
   for (int i = 0; i < 60; ++i) {
     pass(2);
--- a/tests/core/response_hold_test.cpp
+++ b/tests/core/response_hold_test.cpp
@@ -54,7 +54,7 @@
 
 TEST_F(ResponseHoldTest, StopCommandIsSentAtOnce) {
   busy_worker(4, 10);
-  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
+  cluster.apply(JobRecordDeleted{JobId("job-1")}, now);
   EXPECT_EQ(hold(), ResponseHold::none);
 }
 
--- a/tests/core/safety_test.cpp
+++ b/tests/core/safety_test.cpp
@@ -182,7 +182,7 @@
   auto worker = ready_worker("n-1");
   submit(job_spec("job-1", 1));
   ASSERT_EQ(count(exchange(worker), CommandKind::start), 1u);  // on its way
-  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
+  cluster.apply(JobRecordDeleted{JobId("job-1")}, now);
   EXPECT_EQ(cluster.team_usage("team").cpus, 4);
   worker.shows("job-1", 0, 1, TaskState::running);
   const auto commands = exchange(worker);
@@ -199,8 +199,8 @@
 TEST_F(SafetyTest, CopyOfAJobCancelledBeforeItWasHeardOfIsRemovedOnce) {
   // Found by random faults: news of the cancellation came first, and the copy stayed in the store for ever.
   loaded();
-  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
-  cluster.apply(JobRecordRemoved{JobId("job-1")}, now);  // by the watch, too
+  cluster.apply(JobRecordDeleted{JobId("job-1")}, now);
+  cluster.apply(JobRecordDeleted{JobId("job-1")}, now);  // by the watch, too
   ASSERT_EQ(seen<DeleteKeys>().size(), 1u);
   EXPECT_EQ(seen<DeleteKeys>()[0].keys, std::vector<std::string>{key::terminating_job(JobId("job-1"))});
 }
@@ -320,7 +320,7 @@
   worker.tasks.clear();
   submit(job_spec("job-1", 1));
   EXPECT_EQ(count(exchange(worker), CommandKind::start), 0u);
-  cluster.apply(JobRecordRemoved{JobId("job-2")}, now);  // its end is heard of first
+  cluster.apply(JobRecordDeleted{JobId("job-2")}, now);  // its end is heard of first
   submit(job_spec("job-2", 1));
   EXPECT_EQ(cluster.job(JobId("job-2")), nullptr);
 }
--- a/tests/core/scale_requests_test.cpp
+++ b/tests/core/scale_requests_test.cpp
@@ -65,7 +65,7 @@
   const auto repeated = taken<RequestScaleOut>(effects);
   ASSERT_EQ(repeated.size(), 1u);
   EXPECT_EQ(repeated[0].request.id, earlier.id);
-  EXPECT_TRUE(repeated[0].recorded);
+  EXPECT_TRUE(repeated[0].persisted);
   EXPECT_EQ(scale_out.pending_machines(), 6u);
 }
 
@@ -85,7 +85,7 @@
     EXPECT_LE(wire::machine_names(each.machines).dump().size(), config.max_value_bytes);
     requested.insert(requested.end(), each.machines.begin(), each.machines.end());
     keys.insert(each.key);
-    EXPECT_FALSE(each.recorded);
+    EXPECT_FALSE(each.persisted);
   }
   EXPECT_EQ(requested, machines);
   EXPECT_GT(keys.size(), 1u) << "each under a key of its own";
--- a/tests/core/scheduling_constraints_test.cpp
+++ b/tests/core/scheduling_constraints_test.cpp
@@ -110,7 +110,7 @@
   EXPECT_TRUE(refused_with([](Machine& m) { m.terminates_at = 100; }));
   EXPECT_TRUE(refused_with([](Machine& m) { m.runs_unknown_tasks = true; }));
   EXPECT_TRUE(refused_with([](Machine& m) { m.undelivered_responses = 2; }));
-  EXPECT_TRUE(refused_with([&](Machine& m) { m.assignments_paused_until = now + 1; }));
+  EXPECT_TRUE(refused_with([&](Machine& m) { m.assignments_resume_at = now + 1; }));
   EXPECT_TRUE(refused_with([&](Machine& m) { m.last_heartbeat_at = now - 10; })) << "silent";
   EXPECT_TRUE(refused_with([&](Machine& m) {
     m.failed_jobs = {{JobId("job-1"), now}, {JobId("job-2"), now}};
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -99,7 +99,7 @@
   record.spec.image = std::string(200, 'i');
   record.spec.same_zone = true;
   ASSERT_GT(to_json(record).dump().size(), kLeastBytes);
-  const auto txn = cancellation(record, Revision(5), 2, 1234, kLeastBytes);
+  const auto txn = cancellation_transaction(record, Revision(5), 2, 1234, kLeastBytes);
   expect_fits(txn);
   const auto copy = parse_job_record(txn.puts.at(1).value);
   EXPECT_EQ(copy.spec.team, record.spec.team);
