--- a/src/app/heartbeat_handler.cpp
+++ b/src/app/heartbeat_handler.cpp
@@ -92,7 +92,7 @@
   silence.duration_s = std::chrono::duration<double>(context_.loop().now() - since).count();
   silence.threshold_s = constants::kHeartbeatSilenceMin;
   if (silence.duration_s < silence.threshold_s) return silence;  // no need to count the machines
-  silence.machines = state_machine_.machines_up();
+  silence.machines = state_machine_.up_machine_count();
   const double interval_s = context_.config().heartbeat_interval_s;
   const double round_s = constants::kHeartbeatRoundFactor * interval_s + holds_.idle_hold_s();
   const double missed_s = constants::kHeartbeatsMissedThreshold * interval_s /
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -134,7 +134,7 @@
       "jobs={} "
       "staleness_s={:.1f}",
       fleet.machines, fleet.booting, fleet.overwhelmed, fleet.underwhelmed, fleet.free, fleet.waiting_tasks,
-      state_machine_.jobs(), freshness_.staleness_s());
+      state_machine_.job_count(), freshness_.staleness_s());
   spdlog::info("event=state_writes task_log_segments={} in_flight={} held_responses={}",
                state_machine_.task_log_segments(), state_writer_.in_flight(), holds_.size());
   log_state_view();
--- a/src/core/cancellation_tracker.cpp
+++ b/src/core/cancellation_tracker.cpp
@@ -10,37 +10,38 @@
 
 namespace {
 
-// Adds the number of the job's machines, and which of them has not been heard for the longest time. Looks at
-// all tasks of the job.
-void describe_machines(const Job& job, Time now, CancellationReport& report) {
+// Adds the number of machines that hold the job's tasks and the details of the one whose last heartbeat is
+// the oldest. Iterates over all assignments of the job.
+void add_machine_details(const Job& job, Time now, CancellationReport& report) {
   std::set<const Machine*> machines;
-  const Machine* longest_unheard = nullptr;
+  const Machine* longest_unresponsive = nullptr;
   for (const auto& [index, assignment] : job.assignments) {
     machines.insert(assignment.machine);
-    if (!longest_unheard || assignment.machine->last_heartbeat_at < longest_unheard->last_heartbeat_at)
-      longest_unheard = assignment.machine;
+    if (!longest_unresponsive ||
+        assignment.machine->last_heartbeat_at < longest_unresponsive->last_heartbeat_at)
+      longest_unresponsive = assignment.machine;
   }
   report.machines = machines.size();
-  if (!longest_unheard) return;
-  report.machine = longest_unheard->id;
-  report.unheard_s = now - longest_unheard->last_heartbeat_at;
-  report.token_acknowledged = longest_unheard->token_acknowledged;
-  report.deletion_requested = longest_unheard->scale_in_requested;
+  if (!longest_unresponsive) return;
+  report.machine = longest_unresponsive->id;
+  report.unheard_s = now - longest_unresponsive->last_heartbeat_at;
+  report.token_acknowledged = longest_unresponsive->token_acknowledged;
+  report.deletion_requested = longest_unresponsive->scale_in_requested;
 }
 
 }  // namespace
 
 CancellationTracker::CancellationTracker(const ClusterState& state) : state_(state) {}
 
-void CancellationTracker::begin(const Job& job, Time now) {
+void CancellationTracker::start_tracking(const Job& job, Time now) {
   if (job.assignments.empty()) return;
   const bool added = progress_.try_emplace(job.serial).second;
   if (!added) return;
-  reports_.push_back(report(CancellationReport::Kind::known, job, now));
-  describe_machines(job, now, reports_.back());
+  reports_.push_back(make_report(CancellationReport::Kind::known, job, now));
+  add_machine_details(job, now, reports_.back());
 }
 
-void CancellationTracker::stop_sent(const Job& job, const Machine& machine, Time now) {
+void CancellationTracker::record_stop_sent(const Job& job, const Machine& machine, Time now) {
   const auto found = progress_.find(job.serial);
   if (found == progress_.end()) return;
   ++found->second.stops_sent;
@@ -51,35 +52,36 @@
     ++reports_.back().stops_sent;
     return;
   }
-  // Once a response: a look at all tasks of the job here would be one a machine of a large fleet.
-  CancellationReport sent = report(CancellationReport::Kind::stop_sent, job, now);
+  // No `add_machine_details` here: it iterates over all tasks of the job, and this runs once per machine.
+  CancellationReport sent = make_report(CancellationReport::Kind::stop_sent, job, now);
   sent.stops_sent = 1;
   sent.machine = machine.id;
   sent.token_acknowledged = machine.token_acknowledged;
   reports_.push_back(std::move(sent));
 }
 
-void CancellationTracker::machine_deleted(const Machine& machine) {
+void CancellationTracker::record_machine_deleted(const Machine& machine) {
   for (const auto& task : machine.assignments) {
     const auto found = progress_.find(task.job->serial);
     if (found != progress_.end()) ++found->second.tasks_deleted;
   }
 }
 
-void CancellationTracker::end(const Job& job, Time now) {
+void CancellationTracker::finish_tracking(const Job& job, Time now) {
   if (!progress_.contains(job.serial)) return;
-  reports_.push_back(report(CancellationReport::Kind::ended, job, now));
+  reports_.push_back(make_report(CancellationReport::Kind::ended, job, now));
   progress_.erase(job.serial);
 }
 
 void CancellationTracker::report_at_risk(Time now) {
-  const double at_risk_s = constants::kCancellationWarningShare * state_.config().cancellation_timeout_s;
+  const double at_risk_threshold_s =
+      constants::kCancellationWarningShare * state_.config().cancellation_timeout_s;
   for (auto& [serial, progress] : progress_) {
     const Job* job = state_.find_job(serial);
-    if (!job || progress.reported_at_risk || time_left_s(*job, now) >= at_risk_s) continue;
+    if (!job || progress.reported_at_risk || time_left_s(*job, now) >= at_risk_threshold_s) continue;
     progress.reported_at_risk = true;
-    reports_.push_back(report(CancellationReport::Kind::at_risk, *job, now));
-    describe_machines(*job, now, reports_.back());
+    reports_.push_back(make_report(CancellationReport::Kind::at_risk, *job, now));
+    add_machine_details(*job, now, reports_.back());
   }
 }
 
@@ -104,8 +106,8 @@
   return state_.config().cancellation_timeout_s - (now - job.cancelled_at);
 }
 
-CancellationReport CancellationTracker::report(CancellationReport::Kind kind, const Job& job,
-                                               Time now) const {
+CancellationReport CancellationTracker::make_report(CancellationReport::Kind kind, const Job& job,
+                                                    Time now) const {
   CancellationReport out;
   out.kind = kind;
   out.job = job.spec.id;
--- a/src/core/cancellation_tracker.hpp
+++ b/src/core/cancellation_tracker.hpp
@@ -1,5 +1,4 @@
-// What becomes of cancelled jobs that had tasks on machines: who was told to stop, and what is still there.
-// It only observes, for the log; nothing is decided by it.
+// Tracks cancelled jobs whose tasks may still be on machines, for logging only.
 #pragma once
 
 #include <cstddef>
@@ -17,15 +16,15 @@
  public:
   explicit CancellationTracker(const ClusterState& state);
 
-  // The cancellation is known, and the job has assignments that may be on machines.
-  void begin(const Job& job, Time now);
-  // A response to the machine carries a stop command for a task of the job.
-  void stop_sent(const Job& job, const Machine& machine, Time now);
-  // The cloud has confirmed the machine's deletion; its assignments have not been released yet.
-  void machine_deleted(const Machine& machine);
-  // No task of the job is on a machine any more.
-  void end(const Job& job, Time now);
-  // Reports each job once when a third of its time is left.
+  // Starts to track a cancelled job. Does nothing if the job has no assignments.
+  void start_tracking(const Job& job, Time now);
+  // Records that a response to the machine carries a stop command for a task of the job.
+  void record_stop_sent(const Job& job, const Machine& machine, Time now);
+  // Records that the cloud has deleted the machine. The caller releases the machine's assignments afterwards.
+  void record_machine_deleted(const Machine& machine);
+  // Stops tracking a job whose tasks have all been confirmed ended.
+  void finish_tracking(const Job& job, Time now);
+  // Reports each job once when less than `kCancellationWarningShare` of the cancellation timeout is left.
   void report_at_risk(Time now);
 
   std::vector<CancellationReport> take_reports();
@@ -34,15 +33,15 @@
  private:
   struct Progress {
     std::size_t stops_sent = 0;
-    std::size_t tasks_deleted = 0;  // with their machines
+    std::size_t tasks_deleted = 0;  // that ended because their machines were deleted
     bool reported_at_risk = false;
   };
 
   double time_left_s(const Job& job, Time now) const;
-  CancellationReport report(CancellationReport::Kind kind, const Job& job, Time now) const;
+  CancellationReport make_report(CancellationReport::Kind kind, const Job& job, Time now) const;
 
   const ClusterState& state_;
-  std::map<std::uint32_t, Progress> progress_;  // by the job's serial
+  std::map<std::uint32_t, Progress> progress_;  // by job serial
   std::vector<CancellationReport> reports_;
 };
 
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -13,8 +13,7 @@
 bool FailureDetector::lease_expired(const Machine& machine, Time now) const {
   const double lease_s =
       state_.config().worker_lease_s * (1 + 2 * constants::kMaxClockDrift) + constants::kLeaseExpiryMargin;
-  // Only a worker that has shown this leader's token is known to live on its responses only; one that an
-  // earlier leader may still keep alive is waited for or deleted.
+  // Until the worker acknowledges this leader's token, a previous leader may still renew the lease.
   return machine.token_acknowledged &&
          now - std::max(machine.last_response_at, machine.last_heartbeat_at) > lease_s;
 }
@@ -25,9 +24,9 @@
     if (constraints_.silent(machine, now)) lifecycle_.release_undispatched(machine, now);
     if (!lease_expired(machine, now)) continue;
     const auto assignments = machine.assignments;
-    // A gang that is done may have been waiting for this proof to be removed.
+    // A completed gang is removed once all its tasks are confirmed ended, so this may remove the job.
     for (const auto& task : assignments)
-      if (!task.job->cancelled) lifecycle_.release_and_remove(task, now);
+      if (!task.job->cancelled) lifecycle_.release_and_remove_if_finished(task, now);
   }
 }
 
@@ -41,46 +40,46 @@
   return left_s;
 }
 
-bool FailureDetector::in_contact(const Machine& machine, Time now) const {
+bool FailureDetector::responsive_under_token(const Machine& machine, Time now) const {
   return machine.token_acknowledged && !constraints_.silent(machine, now);
 }
 
 bool FailureDetector::cancellation_requires_deletion(const Machine& machine, Time now) const {
   const auto left_s = cancellation_time_left_s(machine, now);
   if (!left_s) return false;
-  const bool silent = constraints_.silent(machine, now);
-  // A machine that hangs ends nothing: what it held when its lease expired it holds until it goes on or is
-  // deleted. Waited for like any silent machine, some held cancelled tasks past the time that these have.
-  if (silent && lease_expired(machine, now)) return true;
+  const bool unresponsive = constraints_.silent(machine, now);
+  // A hung machine does not end its tasks when its lease expires, and waiting until it is presumed lost could
+  // exceed the cancellation timeout.
+  if (unresponsive && lease_expired(machine, now)) return true;
   const double reserve_s =
       std::min(constants::kCancellationReserveMax,
                constants::kCancellationReserveShare * state_.config().cancellation_timeout_s);
-  // With the time over, deletion is no longer urgent: most often the task is gone and only the proof is
-  // missing.
-  if (*left_s <= 0) return silent;
-  // Silence starts afresh with each leader. Counted as contact, it made a machine that nobody had heard look
-  // alive to one short-lived leader after the other.
-  if (*left_s < reserve_s && !in_contact(machine, now)) return true;
+  // After the timeout the task has most likely ended, and only the confirmation is missing.
+  if (*left_s <= 0) return unresponsive;
+  // A new leader takes a machine for responsive until the heartbeat threshold has passed. Under a series of
+  // short-lived leaders an unresponsive machine would never be deleted, so an acknowledged token is required.
+  if (*left_s < reserve_s && !responsive_under_token(machine, now)) return true;
   return *left_s < constants::kCancellationLastResortShare * reserve_s;
 }
 
-std::vector<MachineId> FailureDetector::machines_holding_cancelled_tasks(Time now) const {
-  std::vector<MachineId> holding;
+std::vector<MachineId> FailureDetector::machines_to_delete_for_cancellations(Time now) const {
+  std::vector<MachineId> machines;
   for (const auto& [id, machine] : state_.machines())
-    if (!machine.scale_in_requested && cancellation_requires_deletion(machine, now)) holding.push_back(id);
-  return holding;
+    if (!machine.scale_in_requested && cancellation_requires_deletion(machine, now)) machines.push_back(id);
+  return machines;
 }
 
 bool FailureDetector::boot_failed(const Machine& machine, Time now) const {
   const double age_s = now - machine.rented_at;
   if (const auto* type = state_.type_of(machine)) return age_s > constants::kLostBootFactor * type->boot_s;
-  // One known only from a record and shown by no list is most likely gone; deleting it is the proof.
+  // A machine known only from a record and missing from the cloud's list most likely does not exist. Deleting
+  // it confirms that its tasks have ended.
   return !machine.listed && age_s > 2 * state_.config().machine_list_lag_s + constants::kUnknownMachineGrace;
 }
 
-bool FailureDetector::unreachable(const Machine& machine, Time now) const {
-  const bool terminated = machine.terminates_at && now > *machine.terminates_at;
-  return machine.missed_listings >= constants::kMissedListingsThreshold || terminated ||
+bool FailureDetector::presumed_lost(const Machine& machine, Time now) const {
+  const bool termination_due = machine.terminates_at && now > *machine.terminates_at;
+  return machine.missed_listings >= constants::kMissedListingsThreshold || termination_due ||
          now - machine.last_heartbeat_at > state_.config().worker_lease_s + constants::kSilentMachineGrace;
 }
 
@@ -89,19 +88,19 @@
          now - machine.undelivered_since > state_.config().worker_lease_s + constants::kLeaseExpiryMargin;
 }
 
-bool FailureDetector::to_be_deleted(const Machine& machine, Time now) const {
+bool FailureDetector::requires_deletion(const Machine& machine, Time now) const {
   if (machine.state == MachineState::gone) return true;
   if (machine.state == MachineState::booting) return boot_failed(machine, now);
-  if (constraints_.silent(machine, now)) return unreachable(machine, now);
+  if (constraints_.silent(machine, now)) return presumed_lost(machine, now);
   if (responses_lost(machine, now)) return machine.assignments.empty() || !machine.token_acknowledged;
   return machine.draining && machine.assignments.empty();
 }
 
 std::vector<MachineId> FailureDetector::machines_to_delete(Time now) const {
-  std::vector<MachineId> out;
+  std::vector<MachineId> machines;
   for (const auto& [id, machine] : state_.machines())
-    if (!machine.scale_in_requested && to_be_deleted(machine, now)) out.push_back(id);
-  return out;
+    if (!machine.scale_in_requested && requires_deletion(machine, now)) machines.push_back(id);
+  return machines;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -9,9 +9,9 @@
 namespace dockdyke::core {
 
 LeaderStateMachine::LeaderStateMachine(ClusterConfig config, FencingToken token, Time now,
-                                       std::int64_t time_of_day_ms)
+                                       std::int64_t unix_time_ms)
     : elected_at_(now),
-      elected_ms_(time_of_day_ms),
+      elected_unix_ms_(unix_time_ms),
       state_(std::move(config), token),
       constraints_(state_),
       queue_(state_, constraints_, run_time_estimator_),
@@ -22,10 +22,11 @@
       lifecycle_(state_, queue_, task_log_, cancellations_, effects_),
       recovery_(state_, task_log_, writes_, lifecycle_),
       gang_checkpoint_(state_, constraints_, lifecycle_, effects_),
-      notices_(state_, lifecycle_, gang_checkpoint_),
+      termination_notices_(state_, lifecycle_, gang_checkpoint_),
       health_(state_, constraints_),
       failure_detector_(state_, constraints_, lifecycle_),
-      reconciler_(state_, queue_, task_log_, writes_, lifecycle_, health_, notices_, run_time_estimator_),
+      reconciler_(state_, queue_, task_log_, writes_, lifecycle_, health_, termination_notices_,
+                  run_time_estimator_),
       worker_commands_(state_, constraints_, queue_, cancellations_),
       scale_out_(token, effects_),
       scale_in_(state_, effects_),
@@ -56,11 +57,12 @@
   placer_.assign_tasks(now);
 }
 
-// ---- Records of earlier leaders ---------------------------------------------------------------------------
+// ---- Records of previous leaders --------------------------------------------------------------------------
 
 namespace {
 
-// Times of day may differ between controllers, so an age is never taken as negative.
+// Returns the seconds from `then_ms` to `now_ms` (Unix time). Negative if the clock of the controller that
+// wrote the record is ahead of this one's, so callers clamp it.
 double age_s(std::int64_t now_ms, std::int64_t then_ms) {
   return static_cast<double>(now_ms - then_ms) / 1000.0;
 }
@@ -68,7 +70,7 @@
 }  // namespace
 
 Job& LeaderStateMachine::add_job(const JobRecord& record, Revision version, Time now) {
-  const double job_age_s = age_s(elected_ms_, record.submitted_ms) + (now - elected_at_);
+  const double job_age_s = age_s(elected_unix_ms_, record.submitted_ms) + (now - elected_at_);
   Job& job = state_.add_job(record.spec, version, now - std::max(0.0, job_age_s), now);
   job.expected_run_s = run_time_estimator_.expected(record.spec.job_class, record.spec.estimated_run_s);
   gang_reservations_.note_arrival(job, now);
@@ -77,13 +79,13 @@
 }
 
 void LeaderStateMachine::on(const JobLoaded& event, Time now) {
-  // Active jobs come first: one that was cancelled while the records were read is then known as active, and
-  // the watch tells of its end.
+  // Active records are loaded before terminating ones. A job that is cancelled in between is already known as
+  // active, and the watch delivers the removal of its active record.
   if (state_.find_job(event.record.spec.id)) return;
   Job& job = add_job(event.record, event.version, now);
   if (!event.terminating) return;
   job.cancelled = true;
-  const double cancelled_s = age_s(elected_ms_, event.record.cancelled_ms.value_or(elected_ms_));
+  const double cancelled_s = age_s(elected_unix_ms_, event.record.cancelled_ms.value_or(elected_unix_ms_));
   job.cancelled_at = now - std::max(0.0, cancelled_s);
 }
 
@@ -110,9 +112,8 @@
 // ---- Jobs -------------------------------------------------------------------------------------------------
 
 void LeaderStateMachine::on(const JobSubmitted& event, Time now) {
-  // Until the records are read, an active record may have tasks that segments tell of: loading brings it. And
-  // news of a submission may come after the job's end, when its record was read long before or its watch was
-  // slow.
+  // While records are being loaded, segments may hold tasks of this job, and loading adds the job from its
+  // record. A delayed submission event may also arrive after the job has ended.
   const auto& id = event.record.spec.id;
   if (!state_.loaded() || state_.find_job(id) || state_.recently_ended(id)) return;
   add_job(event.record, event.version, now);
@@ -121,8 +122,8 @@
 void LeaderStateMachine::on(const JobRecordRemoved& event, Time now) {
   Job* job = state_.find_job(event.id);
   if (!job) {
-    // News of its submission may still come. A job that was cancelled before it was known here has no tasks,
-    // and nobody else would delete the copy of its record.
+    // The job's submission event may still arrive. A job that was cancelled before this leader knew it has no
+    // tasks, and no other code deletes its terminating record.
     if (state_.remember_ended(event.id, now) && state_.loaded())
       effects_.push(DeleteKeys{{key::terminating_job(event.id)}});
     return;
@@ -155,15 +156,15 @@
 }
 
 void LeaderStateMachine::on(const WriteApplied& event, Time now) {
-  for (const auto& id : writes_.applied(event.number)) lifecycle_.terminal_record_stored(id, now);
+  for (const auto& id : writes_.applied(event.number)) lifecycle_.handle_stored_terminal_record(id, now);
 }
 
 void LeaderStateMachine::on(const WriteConflicted& event, Time now) {
   for (const auto& id : writes_.conflicted(event.number, event.failed_keys)) {
-    // Its active record was removed by an earlier try, or by a cancellation whose copy nobody else would
-    // delete.
+    // The job's active record was removed by a previous attempt of this write or by a cancellation. After a
+    // cancellation no other code deletes the terminating record.
     effects_.push(DeleteKeys{{key::terminating_job(id)}});
-    lifecycle_.terminal_record_stored(id, now);
+    lifecycle_.handle_stored_terminal_record(id, now);
   }
 }
 
@@ -203,13 +204,13 @@
   state_.expire_tombstones(now);
   if (!state_.loaded()) return;
   task_log_.delete_obsolete_keys();
-  scale_in_.request(failure_detector_.machines_holding_cancelled_tasks(now));
+  scale_in_.request(failure_detector_.machines_to_delete_for_cancellations(now));
   cancellations_.report_at_risk(now);
   failure_detector_.expire_leases(now);
   health_.drain_faulty_machines(now);
   gang_scheduler_.abort_incomplete_attempts(now);
   for (auto& [id, machine] : state_.machines()) {
-    notices_.apply(machine, now);
+    termination_notices_.apply(machine, now);
     health_.drain_if_straggler(machine, now);
   }
   queue_.invalidate();
@@ -224,7 +225,7 @@
   } else {
     autoscaler_.scale_out_for_waiting(now);
   }
-  state_.request_assignment_pass();  // backoffs may have ended
+  state_.request_assignment_pass();  // backoffs may have expired
 }
 
 // ---- Responses to workers ---------------------------------------------------------------------------------
@@ -246,24 +247,24 @@
   worker_commands_.response_sent(machine, now);
 }
 
-// ---- Views ------------------------------------------------------------------------------------------------
+// ---- Queries ----------------------------------------------------------------------------------------------
 
 std::optional<JobProgress> LeaderStateMachine::progress(const JobId& id) const {
   using wire::TaskState;
-  const Job* known = job(id);
-  if (!loaded() || !known || known->cancelled) return std::nullopt;
+  const Job* found = job(id);
+  if (!loaded() || !found || found->cancelled) return std::nullopt;
   const auto running = static_cast<std::uint64_t>(
-      std::count_if(known->assignments.begin(), known->assignments.end(), [](const auto& each) {
+      std::count_if(found->assignments.begin(), found->assignments.end(), [](const auto& each) {
         const TaskAssignment& assignment = each.second;
         return assignment.observed &&
                (assignment.state == TaskState::running || assignment.state == TaskState::saving);
       }));
-  const bool begun = running > 0 || known->done_count > 0;
-  const auto state = begun ? wire::JobState::running : wire::JobState::pending;
-  return JobProgress{known->version, {state, known->done_count, running}};
+  const bool started = running > 0 || found->done_count > 0;
+  const auto state = started ? wire::JobState::running : wire::JobState::pending;
+  return JobProgress{found->version, {state, found->done_count, running}};
 }
 
-std::size_t LeaderStateMachine::machines_up() const {
+std::size_t LeaderStateMachine::up_machine_count() const {
   const auto& machines = state_.machines();
   return static_cast<std::size_t>(std::count_if(machines.begin(), machines.end(), [](const auto& each) {
     return each.second.state == MachineState::up && !each.second.scale_in_requested;
@@ -271,36 +272,36 @@
 }
 
 std::vector<JobId> LeaderStateMachine::active_jobs() const {
-  std::vector<JobId> out;
+  std::vector<JobId> active;
   for (const auto& [id, job] : state_.jobs())
-    if (!job.cancelled) out.push_back(id);
-  return out;
+    if (!job.cancelled) active.push_back(id);
+  return active;
 }
 
 AssignmentCounts LeaderStateMachine::assignment_counts() const {
-  AssignmentCounts out;
+  AssignmentCounts counts;
   for (const auto& [id, job] : state_.jobs())
     for (const auto& [index, assignment] : job.assignments) {
-      out.never_dispatched += assignment.never_dispatched() ? 1 : 0;
+      counts.never_dispatched += assignment.never_dispatched() ? 1 : 0;
       if (!assignment.observed) continue;
-      out.fetching += assignment.state == wire::TaskState::fetching ? 1 : 0;
-      out.running += assignment.state == wire::TaskState::running ? 1 : 0;
+      counts.fetching += assignment.state == wire::TaskState::fetching ? 1 : 0;
+      counts.running += assignment.state == wire::TaskState::running ? 1 : 0;
     }
-  return out;
+  return counts;
 }
 
 std::map<InstanceOffering, OfferingUsage> LeaderStateMachine::usage_by_offering() const {
-  std::map<InstanceOffering, OfferingUsage> out;
+  std::map<InstanceOffering, OfferingUsage> usages;
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.state == MachineState::gone) continue;
-    OfferingUsage& usage = out[{machine.type, machine.zone, machine.spot}];
+    OfferingUsage& usage = usages[{machine.type, machine.zone, machine.spot}];
     ++usage.machines;
     usage.booting += machine.state == MachineState::booting ? 1 : 0;
     usage.empty += machine.state == MachineState::up && machine.assignments.empty() ? 1 : 0;
     if (const auto* type = state_.type_of(machine)) usage.cpus += type->size.cpus;
     usage.cpus_used += machine.used.cpus;
   }
-  return out;
+  return usages;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/leader_state_machine.hpp
+++ b/src/core/leader_state_machine.hpp
@@ -1,9 +1,9 @@
-// The state machine behind a leader: events, heartbeats and the time go in; commands to workers, writes and
-// other effects come out. It does no I/O and has no clock of its own, so the same inputs give the same
-// outputs.
+// Deterministic state machine of the leader. Its inputs are events, heartbeats and the current time; its
+// outputs are commands to workers, writes and other effects. It does no I/O and reads no clock, so equal
+// inputs give equal outputs.
 //
-// It owns the parts that hold the state and decide, and determines the order in which they act on an event.
-// The parts depend on each other in one direction, in the order of their declaration below.
+// It owns the components that hold the state and make the decisions, and defines the order in which they
+// handle an event. A component depends only on components that are declared before it.
 #pragma once
 
 #include <cstdint>
@@ -48,49 +48,52 @@
 
 class LeaderStateMachine {
  public:
-  // Acts under `token`, elected at `now`. `time_of_day_ms`: milliseconds since 1970, to tell the age of jobs.
-  LeaderStateMachine(ClusterConfig config, FencingToken token, Time now, std::int64_t time_of_day_ms);
-  // The parts refer to each other.
+  // Acts under `token`, elected at `now`. `unix_time_ms` is the Unix time of the election in milliseconds,
+  // from which the ages of stored jobs are computed.
+  LeaderStateMachine(ClusterConfig config, FencingToken token, Time now, std::int64_t unix_time_ms);
+  // Not copyable, since the components hold references to each other.
   LeaderStateMachine(const LeaderStateMachine&) = delete;
   LeaderStateMachine& operator=(const LeaderStateMachine&) = delete;
 
   // ---- Inputs ----
   void apply(const Event& event, Time now);
   HeartbeatOutcome apply_heartbeat(const wire::Heartbeat& heartbeat, Time now);
-  // Assigns waiting tasks; to be called after a batch of events and heartbeats.
+  // Assigns waiting tasks. The caller runs it after each batch of events and heartbeats.
   void assign_tasks(Time now);
 
   // ---- Responses to workers ----
-  // The commands for the response to the machine's last heartbeat; starts count as dispatched from here on.
-  // Without `allow_starts` (the leader's view may be stale) only tasks that are there are dealt with.
+  // Returns the commands for the response to the machine's last heartbeat and marks the tasks of its start
+  // commands as dispatched. `allow_starts` is false while the leader's local view may be stale; then there
+  // are no start commands.
   std::vector<wire::Command> commands_for(const MachineId& machine, bool allow_starts, Time now);
-  // Why the response to the machine's last heartbeat should wait.
+  // Returns whether, and for what, the response to the machine's last heartbeat should be held.
   ResponseHold response_hold(const MachineId& machine, Time now) const;
-  // The heartbeat is the machine's last one and has not been answered.
+  // Whether this is the machine's last heartbeat and no response to it has been sent.
   bool awaits_response(const wire::Heartbeat& heartbeat) const;
   void response_sent(const MachineId& machine, Time now);
 
   // ---- Writes and other effects ----
-  // The next transaction to write; nothing where all is stored, in flight or not yet due.
+  // Returns the next transaction to write, or std::nullopt if everything is stored, in flight or not yet due.
   std::optional<StateWrite> next_write(Time now);
-  // Seconds until `next_write` may have one; nothing where all is stored or in flight.
+  // Returns the seconds until the next write is due, or std::nullopt if everything is stored or in flight.
   std::optional<double> next_write_due_in(Time now) const;
   std::vector<Effect> take_effects();
-  // What happened to cancelled jobs since the last call.
+  // Returns the reports on cancelled jobs since the last call.
   std::vector<CancellationReport> take_cancellation_reports();
 
-  // ---- Views ----
+  // ---- Queries ----
   FencingToken token() const { return state_.token(); }
   bool loaded() const { return state_.loaded(); }
-  // What users are told of an active job; nothing where it is unknown here or cancelled.
+  // Returns the progress of a job for status requests, or std::nullopt if the records are not loaded, or the
+  // job is unknown or cancelled.
   std::optional<JobProgress> progress(const JobId& id) const;
   const Job* job(const JobId& id) const { return state_.find_job(id); }
   const Machine* machine(const MachineId& id) const { return state_.find_machine(id); }
-  std::size_t jobs() const { return state_.jobs().size(); }
-  std::size_t fleet() const { return state_.machines().size(); }
-  // Machines whose workers should be sending heartbeats.
-  std::size_t machines_up() const;
-  // Jobs that should have an active record.
+  std::size_t job_count() const { return state_.jobs().size(); }
+  std::size_t machine_count() const { return state_.machines().size(); }
+  // Returns the number of machines whose workers are expected to send heartbeats.
+  std::size_t up_machine_count() const;
+  // Returns the jobs that should have an active record in the state service.
   std::vector<JobId> active_jobs() const;
   wire::Resources team_usage(const std::string& team) const { return state_.team_usage(team); }
   const FleetSummary& fleet_summary() const { return autoscaler_.summary(); }
@@ -98,7 +101,8 @@
   CancellationSummary cancellation_summary(Time now) const { return cancellations_.summary(now); }
   std::map<InstanceOffering, OfferingUsage> usage_by_offering() const;
   std::size_t task_log_segments() const { return task_log_.segments(); }
-  // Machines and jobs looked at so far while tasks were assigned: the work that must not grow with the fleet.
+  // Number of machines and jobs examined so far during task assignment. Tests check that the number per
+  // assignment does not grow with the fleet.
   std::uint64_t scanned() const { return state_.scanned(); }
 
  private:
@@ -124,7 +128,7 @@
   Job& add_job(const JobRecord& record, Revision version, Time now);
 
   Time elected_at_;
-  std::int64_t elected_ms_;  // the same moment by the time of day
+  std::int64_t elected_unix_ms_;  // the same point in time as Unix time
 
   // State
   EffectQueue effects_;
@@ -141,7 +145,7 @@
   StateRecovery recovery_;
   // Workers
   GangCheckpoint gang_checkpoint_;
-  TerminationNotices notices_;
+  TerminationNotices termination_notices_;
   MachineHealth health_;
   FailureDetector failure_detector_;
   Reconciler reconciler_;
--- a/src/core/machine_inventory.cpp
+++ b/src/core/machine_inventory.cpp
@@ -12,17 +12,17 @@
 void MachineInventory::apply(const MachinesListed& event, Time now) {
   std::set<MachineId> listed;
   std::vector<MachineId> failed;
-  for (const auto& each : event.machines) {
-    listed.insert(each.id);
-    if (state_.recently_deleted(each.id)) continue;
-    if (update(each, now)) failed.push_back(each.id);
+  for (const auto& listed_machine : event.machines) {
+    listed.insert(listed_machine.id);
+    if (state_.recently_deleted(listed_machine.id)) continue;
+    if (update_from_listing(listed_machine, now)) failed.push_back(listed_machine.id);
   }
   for (auto& [id, machine] : state_.machines())
     if (machine.listed && !listed.contains(id)) ++machine.missed_listings;
   scale_in_.request(failed);
 }
 
-bool MachineInventory::update(const wire::ListedMachine& listed, Time now) {
+bool MachineInventory::update_from_listing(const wire::ListedMachine& listed, Time now) {
   Machine& machine = state_.find_or_add_machine(listed.id, now);
   if (!machine.listed) {
     machine.listed = true;
@@ -36,7 +36,8 @@
     return !machine.scale_in_requested;
   }
   if (listed.state == wire::InstanceState::running && machine.state == MachineState::booting) {
-    machine.state = MachineState::up;  // its first heartbeat is due, so its silence counts from here
+    // The first heartbeat is due now, so the time since the last heartbeat starts here.
+    machine.state = MachineState::up;
     machine.last_heartbeat_at = now;
   }
   return false;
--- a/src/core/machine_inventory.hpp
+++ b/src/core/machine_inventory.hpp
@@ -1,4 +1,4 @@
-// Which machines there are, by what the cloud says.
+// Applies the cloud's machine lists and the results of scale-out and deletion calls to the cluster state.
 #pragma once
 
 #include <vector>
@@ -18,15 +18,16 @@
   MachineInventory(ClusterState& state, ScaleOutRequests& scale_out, ScaleInRequests& scale_in,
                    TaskLifecycle& lifecycle);
 
-  // Lists lag and may be older than the one before, so a missing machine proves nothing.
+  // Applies a machine list. Lists may lag or arrive out of order, so missing machines are counted but kept.
   void apply(const MachinesListed& event, Time now);
+  // Adds the machines that the cloud has granted for a scale-out request.
   void apply(const ScaleOutGranted& event, Time now);
-  // The deletion was answered: the machines and everything on them are gone.
+  // Releases all assignments of the deleted machines and removes the machines.
   void apply(const MachinesDeleted& event, Time now);
 
  private:
-  // Returns whether the machine has failed and is to be deleted.
-  bool update(const wire::ListedMachine& listed, Time now);
+  // Returns whether the machine has failed and its deletion has not been requested yet.
+  bool update_from_listing(const wire::ListedMachine& listed, Time now);
 
   ClusterState& state_;
   ScaleOutRequests& scale_out_;
--- a/src/core/reconciler.cpp
+++ b/src/core/reconciler.cpp
@@ -13,23 +13,23 @@
 using wire::TaskState;
 
 Reconciler::Reconciler(ClusterState& state, JobQueue& queue, TaskLog& task_log, WriteQueue& writes,
-                       TaskLifecycle& lifecycle, MachineHealth& health, TerminationNotices& notices,
-                       RunTimeEstimator& run_time_estimator)
+                       TaskLifecycle& lifecycle, MachineHealth& health,
+                       TerminationNotices& termination_notices, RunTimeEstimator& run_time_estimator)
     : state_(state),
       queue_(queue),
       task_log_(task_log),
       writes_(writes),
       lifecycle_(lifecycle),
       health_(health),
-      notices_(notices),
+      termination_notices_(termination_notices),
       run_time_estimator_(run_time_estimator) {}
 
 HeartbeatOutcome Reconciler::apply(const wire::Heartbeat& heartbeat, Time now) {
   if (heartbeat.token > state_.token()) return HeartbeatOutcome::superseded;
-  // A machine that was deleted can't run anything; its heartbeat was on the way for long.
+  // A delayed heartbeat of a deleted machine, which cannot run any tasks.
   if (state_.recently_deleted(heartbeat.machine)) return HeartbeatOutcome::stale;
   Machine& machine = state_.find_or_add_machine(heartbeat.machine, now);
-  // Also a late copy of a heartbeat that was answered: it renews nothing and proves nothing.
+  // A delayed or duplicated heartbeat must neither renew the lease nor confirm that a task has ended.
   if (std::tie(heartbeat.incarnation, heartbeat.sequence_number) <=
       std::tie(machine.incarnation, machine.sequence_number))
     return HeartbeatOutcome::stale;
@@ -38,11 +38,11 @@
   if (!state_.loaded()) return HeartbeatOutcome::accepted;
   if (machine.token_acknowledged) {
     reconcile_tasks(machine, heartbeat, now);
-    notices_.apply(machine, now);
+    termination_notices_.apply(machine, now);
   } else {
-    // An earlier leader may still change what the worker runs: nothing that is absent from this heartbeat is
-    // proved gone, but what it shows and no record assigns is to be stopped.
-    note_unassigned_tasks(machine, heartbeat);
+    // A previous leader may still start tasks on the worker, so a task that this heartbeat lacks is not
+    // confirmed ended. Reported tasks without an assignment can already be stopped.
+    record_unassigned_tasks(machine, heartbeat);
   }
   return HeartbeatOutcome::accepted;
 }
@@ -53,7 +53,7 @@
     machine.idle_since = now;
   }
   state_.set_offering(machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
-  const bool was_answered = machine.last_response_at > 0 && !machine.response_pending;
+  const bool response_was_sent = machine.last_response_at > 0 && !machine.response_pending;
   const bool had_acknowledged = machine.token_acknowledged;
   machine.incarnation = heartbeat.incarnation;
   machine.sequence_number = heartbeat.sequence_number;
@@ -62,8 +62,8 @@
   if (machine.worker_address != heartbeat.address) machine.worker_address = heartbeat.address;
   if (heartbeat.termination_notice_s) machine.terminates_at = now + *heartbeat.termination_notice_s;
   machine.token_acknowledged = heartbeat.token == state_.token();
-  if (!machine.token_acknowledged && was_answered) {
-    // Its heartbeats arrive, but the responses do not reach it.
+  if (!machine.token_acknowledged && response_was_sent) {
+    // Heartbeats arrive, but the worker has not received the response that carries this leader's token.
     count_undelivered_response(machine, now);
   } else if (machine.token_acknowledged && !had_acknowledged) {
     machine.undelivered_responses = 0;
@@ -83,7 +83,7 @@
     handle_exit(*task.job, task.index, machine, *reported, now);
     lifecycle_.remove_if_finished(*task.job, now);
   }
-  const auto lost_starts = release_absent_tasks(machine, heartbeat, now);
+  const auto lost_starts = release_unreported_tasks(machine, heartbeat, now);
   if (observation.response_delivered) {
     machine.undelivered_responses = 0;
   } else if (observation.response_lost || !lost_starts.empty()) {
@@ -94,7 +94,8 @@
 
 namespace {
 
-// The assignment that the reported task is of; nothing where it is another attempt or on another machine.
+// Returns the assignment of the reported task, or nullptr if the job has assigned no such task to this
+// machine or has assigned another attempt of it.
 TaskAssignment* find_assignment(Job& job, const Machine& machine, const ReportedTask& reported) {
   const auto found = job.assignments.find(reported.task.index);
   if (found == job.assignments.end()) return nullptr;
@@ -104,7 +105,7 @@
 
 }  // namespace
 
-void Reconciler::note_unassigned_tasks(Machine& machine, const wire::Heartbeat& heartbeat) {
+void Reconciler::record_unassigned_tasks(Machine& machine, const wire::Heartbeat& heartbeat) {
   machine.unassigned_tasks.clear();
   for (const auto& reported : heartbeat.tasks) {
     Job* job = state_.find_job(reported.task.job);
@@ -116,33 +117,35 @@
 
 Reconciler::Observation Reconciler::observe_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
                                                   Time now) {
-  const auto acknowledged = std::exchange(machine.acknowledged_exits, {});
+  const auto acknowledged_exits = std::exchange(machine.acknowledged_exits, {});
   machine.unassigned_tasks.clear();
   machine.runs_unknown_tasks = false;
   ++machine.heartbeat_count;
-  Observation out;
-  out.response_delivered = !acknowledged.empty();
+  Observation observation;
+  observation.response_delivered = !acknowledged_exits.empty();
   for (const auto& reported : heartbeat.tasks) {
     Job* job = state_.find_job(reported.task.job);
     TaskAssignment* assignment = job ? find_assignment(*job, machine, reported) : nullptr;
     const bool exited = reported.state == TaskState::exited;
-    // Of whatever attempt: a gang that has completed has done so for good.
+    // Counts for any attempt, since a completed gang is never run again.
     if (exited && reported.cause == ExitCause::done && job && job->is_gang())
-      out.completed_gangs.push_back(job);
+      observation.completed_gangs.push_back(job);
     if (assignment) {
-      out.response_delivered = out.response_delivered || (assignment->dispatched && !assignment->observed);
+      observation.response_delivered =
+          observation.response_delivered || (assignment->dispatched && !assignment->observed);
       observe_assignment(machine, *job, *assignment, reported, now);
-      if (exited) out.exited.push_back({{job, reported.task.index}, &reported});
+      if (exited) observation.exited.push_back({{job, reported.task.index}, &reported});
     }
     if (exited || !assignment) machine.unassigned_tasks.push_back(reported);
     if (!exited && !assignment) machine.runs_unknown_tasks = true;
     const TaskAttempt attempt{reported.task, reported.attempt};
-    if (exited && std::find(acknowledged.begin(), acknowledged.end(), attempt) != acknowledged.end()) {
-      out.response_delivered = false;
-      out.response_lost = true;
+    if (exited && std::find(acknowledged_exits.begin(), acknowledged_exits.end(), attempt) !=
+                      acknowledged_exits.end()) {
+      observation.response_delivered = false;
+      observation.response_lost = true;
     }
   }
-  return out;
+  return observation;
 }
 
 void Reconciler::observe_assignment(Machine& machine, Job& job, TaskAssignment& assignment,
@@ -161,26 +164,25 @@
                      type ? std::optional(type->cache_gb) : std::nullopt);
 }
 
-std::vector<AssignedTask> Reconciler::release_absent_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
-                                                           Time now) {
+std::vector<AssignedTask> Reconciler::release_unreported_tasks(Machine& machine,
+                                                               const wire::Heartbeat& heartbeat, Time now) {
   std::vector<AssignedTask> lost_starts;
   const auto assignments = machine.assignments;
   for (const auto& task : assignments) {
     const TaskAssignment& assignment = task.assignment();
     if (assignment.observed && assignment.observed_in_heartbeat == machine.heartbeat_count) continue;
     if (assignment.never_dispatched()) {
-      // Its start is still to be sent, and that of a task which is to be stopped will not be: kept, it waited
-      // for ever for a heartbeat to show what was never there. An adopted task was not dispatched by this
-      // leader either, but it has been observed: counted here, it ran for ever once its worker's lease had
-      // expired between two heartbeats.
+      // The start command has not been sent. For a stopping task it never will be, so no heartbeat would ever
+      // confirm that the task has ended. Adopted tasks are not `never_dispatched`, since a previous leader
+      // may have started them.
       if (assignment.stopping) lifecycle_.release(*task.job, task.index, now);
       continue;
     }
     const bool newer_incarnation = heartbeat.incarnation > assignment.dispatched_incarnation;
     if (assignment.adopted || newer_incarnation || assignment.observed || assignment.stopping) {
-      // Proved gone: the worker knows the token, and this heartbeat is newer than any start that was sent to
-      // it.
-      lifecycle_.release_and_remove(task, now);
+      // Confirmed ended: the worker has acknowledged the token, and this heartbeat is newer than the one
+      // whose response carried the start command.
+      lifecycle_.release_and_remove_if_finished(task, now);
     } else {
       lost_starts.push_back(task);
     }
@@ -188,14 +190,14 @@
   return lost_starts;
 }
 
-void Reconciler::retry_lost_starts(Machine& machine, const std::vector<AssignedTask>& lost, Time now) {
-  for (const auto& task : lost) {
+void Reconciler::retry_lost_starts(Machine& machine, const std::vector<AssignedTask>& lost_starts, Time now) {
+  for (const auto& task : lost_starts) {
     if (machine.undelivered_responses < constants::kUndeliveredResponsesThreshold) {
-      task.assignment().dispatched = false;  // the same attempt may be sent again
+      task.assignment().dispatched = false;  // the same attempt is sent again
     } else {
-      // Heartbeats arrive from the worker, but no response reaches it. This heartbeat is newer than the one
-      // whose response carried the start, so the task is not there and can go elsewhere.
-      lifecycle_.release_and_remove(task, now);
+      // Heartbeats arrive, but no response reaches the worker. This heartbeat is newer than the one whose
+      // response carried the start command, so the task is not on the worker and may run on another machine.
+      lifecycle_.release_and_remove_if_finished(task, now);
     }
   }
 }
@@ -210,7 +212,7 @@
         complete_task(job, index, machine, now);
       break;
     case ExitCause::error:
-      // A gang's tasks fail together, which counts once.
+      // The tasks of a gang fail together, so their failures count as one.
       if (!job.is_gang() || !std::exchange(job.gang.failure_counted, true))
         health_.record_failure(job, machine, now);
       break;
@@ -237,7 +239,7 @@
   job.tasks[index].done = true;
   ++job.done_count;
   job.started = true;
-  task_log_.request_segment();  // the worker may forget the result only when it is stored
+  task_log_.request_segment();  // the exit is acknowledged to the worker only once the result is stored
   if (assignment.running_since > assignment.assigned_at && assignment.dispatched) {
     const double run_s = now - assignment.running_since;
     run_time_estimator_.observe(job.spec.job_class, job.spec.estimated_run_s, run_s);
@@ -253,7 +255,7 @@
   for (const auto& [index, assignment] : job.assignments)
     if (assignment.dispatched) run_s = std::max(run_s, assignment.ran_s(now));
   if (run_s > 0) run_time_estimator_.observe(job.spec.job_class, job.spec.estimated_run_s, run_s);
-  // Tasks of a gang complete together: with one of them done, none is ever started again.
+  // Includes tasks whose exit has not been reported yet, so that none of them is started again.
   for (auto& task : job.tasks) task.done = true;
   job.done_count = job.spec.task_count;
   job.started = true;
--- a/src/core/reconciler.hpp
+++ b/src/core/reconciler.hpp
@@ -1,7 +1,8 @@
-// Reconciliation: compares what a heartbeat shows with the leader's state, and concludes what is proved gone.
+// Reconciles heartbeats with the leader's state and releases the assignments of tasks that have ended.
 //
-// A task's assignment ends only on proof: a heartbeat under this leader's token, newer than the one whose
-// response carried the start, that lacks the task or shows it exited; or a later incarnation of the worker.
+// A task is confirmed ended by a heartbeat under this leader's token that is newer than the heartbeat whose
+// response carried the start command, and that lacks the task or shows it as exited, or that has a later
+// incarnation of the worker.
 #pragma once
 
 #include <vector>
@@ -21,9 +22,10 @@
 class Reconciler {
  public:
   Reconciler(ClusterState& state, JobQueue& queue, TaskLog& task_log, WriteQueue& writes,
-             TaskLifecycle& lifecycle, MachineHealth& health, TerminationNotices& notices,
+             TaskLifecycle& lifecycle, MachineHealth& health, TerminationNotices& termination_notices,
              RunTimeEstimator& run_time_estimator);
 
+  // Applies a heartbeat, unless it is stale or its token is higher than this leader's.
   HeartbeatOutcome apply(const wire::Heartbeat& heartbeat, Time now);
 
  private:
@@ -31,31 +33,33 @@
     AssignedTask task;
     const wire::ReportedTask* reported = nullptr;
   };
-  // What one heartbeat shows.
+  // Results of comparing one heartbeat with the assignments.
   struct Observation {
     std::vector<ExitedTask> exited;
     std::vector<Job*> completed_gangs;
-    // It shows that the last response took effect, or that it did not.
+    // The heartbeat shows that the worker has executed the last response, or that it has not.
     bool response_delivered = false;
     bool response_lost = false;
   };
 
   void update_connection(Machine& machine, const wire::Heartbeat& heartbeat, Time now);
-  // Notes the tasks that run on the machine and that no record assigns to it.
-  void note_unassigned_tasks(Machine& machine, const wire::Heartbeat& heartbeat);
+  // Records the tasks in the heartbeat that run on the machine without being assigned to it.
+  void record_unassigned_tasks(Machine& machine, const wire::Heartbeat& heartbeat);
   void reconcile_tasks(Machine& machine, const wire::Heartbeat& heartbeat, Time now);
   Observation observe_tasks(Machine& machine, const wire::Heartbeat& heartbeat, Time now);
   void observe_assignment(Machine& machine, Job& job, TaskAssignment& assignment,
                           const wire::ReportedTask& reported, Time now);
-  // Releases assignments that the heartbeat proves gone. Returns those whose start command seems to be lost.
-  std::vector<AssignedTask> release_absent_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
-                                                 Time now);
+  // Releases the assignments of tasks that the heartbeat lacks and thereby confirms as ended. Returns the
+  // tasks whose start command was probably lost.
+  std::vector<AssignedTask> release_unreported_tasks(Machine& machine, const wire::Heartbeat& heartbeat,
+                                                     Time now);
   void count_undelivered_response(Machine& machine, Time now);
-  void retry_lost_starts(Machine& machine, const std::vector<AssignedTask>& lost, Time now);
+  // Resends lost start commands, or releases the tasks if responses repeatedly fail to reach the worker.
+  void retry_lost_starts(Machine& machine, const std::vector<AssignedTask>& lost_starts, Time now);
 
   void handle_exit(Job& job, TaskIndex index, Machine& machine, const wire::ReportedTask& reported, Time now);
   void complete_task(Job& job, TaskIndex index, Machine& machine, Time now);
-  // One completed task of a gang means that all are done.
+  // Marks all tasks of a gang as done. Tasks of a gang complete together, so one completed task is enough.
   void complete_gang(Job& job, Time now);
 
   ClusterState& state_;
@@ -64,7 +68,7 @@
   WriteQueue& writes_;
   TaskLifecycle& lifecycle_;
   MachineHealth& health_;
-  TerminationNotices& notices_;
+  TerminationNotices& termination_notices_;
   RunTimeEstimator& run_time_estimator_;
 };
 
--- a/src/core/task_lifecycle.cpp
+++ b/src/core/task_lifecycle.cpp
@@ -16,7 +16,7 @@
   if (!state_.end_assignment(job, index, now)) return;
   state_.request_assignment_pass();
   if (job.is_gang()) {
-    if (job.unfinished()) gang_task_released(job, now);
+    if (job.unfinished()) handle_released_gang_task(job, now);
     return;
   }
   if (!job.complete()) task_log_.mark_unpersisted(job, index);
@@ -28,14 +28,14 @@
   job.requeued.insert(index);
 }
 
-void TaskLifecycle::release_and_remove(const AssignedTask& task, Time now) {
+void TaskLifecycle::release_and_remove_if_finished(const AssignedTask& task, Time now) {
   release(*task.job, task.index, now);
   remove_if_finished(*task.job, now);
 }
 
 void TaskLifecycle::release_all(Machine& machine, Time now) {
   const auto assignments = machine.assignments;
-  for (const auto& task : assignments) release_and_remove(task, now);
+  for (const auto& task : assignments) release_and_remove_if_finished(task, now);
   machine.unassigned_tasks.clear();
   machine.runs_unknown_tasks = false;
 }
@@ -58,21 +58,21 @@
 void TaskLifecycle::stop_cancelled_job(Job& job, Time now) {
   queue_.invalidate();
   job.unpersisted.clear();
-  // Also where the start command is still in flight: the stop command is repeated until the task is proved
-  // gone.
+  // Includes tasks whose start command is still in flight: stop commands are repeated until a task is
+  // confirmed ended.
   for (auto& [index, assignment] : job.assignments)
     if (!assignment.never_dispatched()) assignment.stop(0);
   release_undispatched(job, now);
   job.requeued.clear();
   job.next_unattempted = job.spec.task_count;
-  cancellations_.begin(job, now);
+  cancellations_.start_tracking(job, now);
 }
 
 void TaskLifecycle::remove_if_finished(Job& job, Time now) {
-  const bool over = job.cancelled || (job.complete() && !job.terminal_write_pending);
-  if (!over || !job.assignments.empty()) return;
+  const bool finished = job.cancelled || (job.complete() && !job.terminal_write_pending);
+  if (!finished || !job.assignments.empty()) return;
   const JobId id = job.spec.id;
-  cancellations_.end(job, now);
+  cancellations_.finish_tracking(job, now);
   if (job.cancelled) effects_.push(DeleteKeys{{key::terminating_job(id)}});
   if (!job.gang.keys.empty()) effects_.push(DeleteKeys{std::move(job.gang.keys)});
   task_log_.release_entries(job);
@@ -80,7 +80,7 @@
   state_.remove_job(id, now);
 }
 
-void TaskLifecycle::terminal_record_stored(const JobId& id, Time now) {
+void TaskLifecycle::handle_stored_terminal_record(const JobId& id, Time now) {
   Job* job = state_.find_job(id);
   if (!job) return;
   job->terminal_write_pending = false;
@@ -89,7 +89,7 @@
 
 void TaskLifecycle::remove_machine(const MachineId& id, Time now) {
   if (Machine* machine = state_.find_machine(id)) {
-    cancellations_.machine_deleted(*machine);
+    cancellations_.record_machine_deleted(*machine);
     release_all(*machine, now);
   }
   state_.remove_machine(id, now);
@@ -103,12 +103,12 @@
   aborted_gangs_.push_back(job.serial);
 }
 
-void TaskLifecycle::gang_task_released(Job& job, Time now) {
+void TaskLifecycle::handle_released_gang_task(Job& job, Time now) {
   if (!job.assignments.empty()) {
     abort_gang(job);
     return;
   }
-  // All tasks are proved gone, so the next attempt may be made.
+  // All tasks are confirmed ended, so the next attempt may start.
   job.gang.aborted = false;
   job.gang.failure_counted = false;
   job.requeued.clear();
--- a/src/core/task_lifecycle.hpp
+++ b/src/core/task_lifecycle.hpp
@@ -1,5 +1,5 @@
-// What follows when tasks, jobs and machines go: the waiting state of tasks, stored changes, the attempts of
-// gangs.
+// Ends assignments, jobs, machines and gang attempts. Returns released tasks to the queue, and requests the
+// writes and key deletions that follow.
 #pragma once
 
 #include <cstdint>
@@ -19,39 +19,41 @@
   TaskLifecycle(ClusterState& state, JobQueue& queue, TaskLog& task_log, CancellationTracker& cancellations,
                 EffectQueue& effects);
 
-  // The task is proved to be off its machine, or its start was never sent: its assignment ends, and unless it
-  // is done it waits for another one.
+  // Releases the assignment of a task that is confirmed ended or whose start command was never sent. The task
+  // waits for another assignment unless it is done or its job is cancelled.
   void release(Job& job, TaskIndex index, Time now);
-  // `release`, then `remove_if_finished`. The job may be gone afterwards.
-  void release_and_remove(const AssignedTask& task, Time now);
-  // The machine, with everything on it, is proved to be gone or to have ended all its tasks.
+  // Calls `release` and `remove_if_finished`. The job may be invalid afterwards.
+  void release_and_remove_if_finished(const AssignedTask& task, Time now);
+  // Releases all assignments of a machine on which every task is confirmed ended.
   void release_all(Machine& machine, Time now);
-  // Ends assignments whose start was never sent.
+  // Releases the assignments whose start command was never sent.
   void release_undispatched(Machine& machine, Time now);
   void release_undispatched(Job& job, Time now);
 
-  // The job was cancelled: its tasks are stopped, and none is assigned any more.
+  // Stops the tasks of a cancelled job and assigns no further ones.
   void stop_cancelled_job(Job& job, Time now);
-  // Removes a cancelled or completed job whose tasks are all proved gone. The job may be gone afterwards.
+  // Removes a cancelled or completed job once all its tasks are confirmed ended. The job may be invalid
+  // afterwards.
   void remove_if_finished(Job& job, Time now);
-  // The job's terminal record is stored.
-  void terminal_record_stored(const JobId& id, Time now);
-  // The machine is proved to be gone.
+  // Called when the job's terminal record is stored.
+  void handle_stored_terminal_record(const JobId& id, Time now);
+  // Removes a deleted machine and releases its assignments.
   void remove_machine(const MachineId& id, Time now);
 
-  // The gang's attempt cannot succeed any more. `stop_aborted_gangs` stops what is left of it.
+  // Marks the gang's current attempt as failed. `stop_aborted_gangs` stops its remaining tasks.
   void abort_gang(Job& job);
   void stop_aborted_gangs(Time now);
 
  private:
-  void gang_task_released(Job& job, Time now);
+  // Aborts the gang's attempt while other tasks are assigned, or prepares the next attempt.
+  void handle_released_gang_task(Job& job, Time now);
 
   ClusterState& state_;
   JobQueue& queue_;
   TaskLog& task_log_;
   CancellationTracker& cancellations_;
   EffectQueue& effects_;
-  std::vector<std::uint32_t> aborted_gangs_;  // serials, since the last `stop_aborted_gangs`
+  std::vector<std::uint32_t> aborted_gangs_;  // job serials, since the last `stop_aborted_gangs`
 };
 
 }  // namespace dockdyke::core
--- a/src/core/termination_notices.cpp
+++ b/src/core/termination_notices.cpp
@@ -13,25 +13,26 @@
 void TerminationNotices::apply(Machine& machine, Time now) {
   if (!machine.terminates_at) return;
   lifecycle_.release_undispatched(machine, now);
-  const double left_s = *machine.terminates_at - now;
+  const double time_left_s = *machine.terminates_at - now;
   for (const auto& task : machine.assignments) {
     if (task.assignment().stopping) continue;
     if (task.job->is_gang()) {
-      gang_checkpoint_.handle_termination_notice(*task.job, left_s, now);
+      gang_checkpoint_.handle_termination_notice(*task.job, time_left_s, now);
     } else {
-      stop_if_due(task, left_s, now);
+      stop_if_due(task, time_left_s, now);
     }
   }
 }
 
-void TerminationNotices::stop_if_due(const AssignedTask& task, double left_s, Time now) {
+void TerminationNotices::stop_if_due(const AssignedTask& task, double time_left_s, Time now) {
   const auto& spec = task.job->spec;
   TaskAssignment& assignment = task.assignment();
-  const double remaining_s = std::max(0.0, task.job->expected_run_s - assignment.ran_s(now));
+  const double remaining_run_s = std::max(0.0, task.job->expected_run_s - assignment.ran_s(now));
   if (spec.checkpoint_interval_s > 0) {
-    if (left_s <= last_chance_to_save_s(state_.config(), spec)) assignment.stop(spec.checkpoint_duration_s);
-  } else if (spec.kind == wire::JobKind::service || remaining_s > left_s) {
-    assignment.stop(0);  // it can't end here: the sooner it starts again elsewhere the better
+    if (time_left_s <= last_chance_to_save_s(state_.config(), spec))
+      assignment.stop(spec.checkpoint_duration_s);
+  } else if (spec.kind == wire::JobKind::service || remaining_run_s > time_left_s) {
+    assignment.stop(0);  // it cannot end here, so it is restarted elsewhere without delay
   }
 }
 
--- a/src/core/termination_notices.hpp
+++ b/src/core/termination_notices.hpp
@@ -1,4 +1,4 @@
-// Tasks on machines that the cloud has announced to take back.
+// Handles termination notices: stops tasks on machines that the cloud will reclaim.
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -12,12 +12,14 @@
  public:
   TerminationNotices(const ClusterState& state, TaskLifecycle& lifecycle, GangCheckpoint& gang_checkpoint);
 
-  // Stops tasks that cannot end in time, in time to save their progress. Nothing where the machine has no
-  // notice.
+  // Stops the tasks that cannot end before the machine terminates, early enough to write a checkpoint. Does
+  // nothing if the machine has no termination notice.
   void apply(Machine& machine, Time now);
 
  private:
-  void stop_if_due(const AssignedTask& task, double left_s, Time now);
+  // Stops a task with checkpoints when the last chance to write one comes, and any other task at once if it
+  // cannot end within `time_left_s`.
+  void stop_if_due(const AssignedTask& task, double time_left_s, Time now);
 
   const ClusterState& state_;
   TaskLifecycle& lifecycle_;
--- a/src/core/worker_commands.cpp
+++ b/src/core/worker_commands.cpp
@@ -30,13 +30,14 @@
   Machine* machine = state_.find_machine(id);
   if (!machine || !state_.loaded()) return {};
   CommandList commands;
-  // Stops are right under every token. Kept back until the worker had shown this leader's, they never reached
-  // workers whose leaders changed with each heartbeat, while each answer renewed their lease.
+  // Stop commands are valid under any token. If they waited until this leader's token is acknowledged, they
+  // would never be sent while leaders change faster than heartbeats arrive, and each response renews the
+  // worker's lease.
   add_stops(*machine, now, commands);
   if (machine->token_acknowledged) {
     add_acknowledgements(*machine, commands);
-    const bool takes_work = !machine->draining && !machine->terminates_at && !machine->scale_in_requested;
-    if (allow_starts && takes_work) add_starts(*machine, commands);
+    const bool accepts_starts = !machine->draining && !machine->terminates_at && !machine->scale_in_requested;
+    if (allow_starts && accepts_starts) add_starts(*machine, commands);
   }
   return commands.take();
 }
@@ -52,7 +53,7 @@
     if (!assignment.stopping) continue;
     commands.add(
         {CommandKind::stop, {task.job->spec.id, task.index}, assignment.attempt, assignment.grace_s});
-    if (task.job->cancelled) cancellations_.stop_sent(*task.job, machine, now);
+    if (task.job->cancelled) cancellations_.record_stop_sent(*task.job, machine, now);
   }
 }
 
@@ -96,11 +97,11 @@
   if (Machine* machine = state_.find_machine(id)) state_.response_sent(*machine, now);
 }
 
-bool WorkerCommands::has_lasting_capacity(const Machine& machine, Time now) const {
+bool WorkerCommands::has_stable_free_capacity(const Machine& machine, Time now) const {
   const auto free = constraints_.free_capacity(machine);
   if (!constraints_.accepts_work(machine, now) || !queue_.tiers().smallest_task().fits_into(free))
     return false;
-  // While its response is held, a worker can't report that a task has ended.
+  // While its response is held, the worker sends no heartbeat and cannot report that a task has ended.
   return std::none_of(
       machine.assignments.begin(), machine.assignments.end(), [now](const AssignedTask& task) {
         const TaskAssignment& assignment = task.assignment();
@@ -127,8 +128,8 @@
     commands_ready = commands_ready || never_dispatched || assignment.stopping;
   }
   if (commands_ready) return ResponseHold::none;
-  const bool may_take_work = machine->assignments.empty() || has_lasting_capacity(*machine, now);
-  return may_take_work ? ResponseHold::awaiting_work : ResponseHold::none;
+  const bool may_receive_work = machine->assignments.empty() || has_stable_free_capacity(*machine, now);
+  return may_receive_work ? ResponseHold::awaiting_work : ResponseHold::none;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/worker_commands.hpp
+++ b/src/core/worker_commands.hpp
@@ -1,4 +1,4 @@
-// What a worker is told in the response to its heartbeat, and when the response should go out.
+// Selects the commands in the response to a worker's heartbeat and decides whether the response is held.
 #pragma once
 
 #include <vector>
@@ -17,29 +17,31 @@
   WorkerCommands(ClusterState& state, const SchedulingConstraints& constraints, const JobQueue& queue,
                  CancellationTracker& cancellations);
 
-  // The commands for the response to the machine's last heartbeat, at most `kMaxCommandsPerResponse`, stops
-  // first. Starts count as dispatched from here on. Without `allow_starts` (the leader's view may be stale)
-  // only tasks that are there are dealt with. A worker that has not shown this leader's token gets only
-  // stops.
+  // Returns at most `kMaxCommandsPerResponse` commands for the response to the machine's last heartbeat, stop
+  // commands first, and marks the tasks of start commands as dispatched. `allow_starts` is false while the
+  // leader's local view may be stale. A worker that has not acknowledged this leader's token gets stop
+  // commands only.
   std::vector<wire::Command> commands_for(const MachineId& machine, bool allow_starts, Time now);
+  // Returns whether, and for what, the response to the machine's last heartbeat should be held.
   ResponseHold response_hold(const MachineId& machine, Time now) const;
-  // The heartbeat is the machine's last one and has not been answered.
+  // Whether this is the machine's last heartbeat and no response to it has been sent.
   bool awaits_response(const wire::Heartbeat& heartbeat) const;
   void response_sent(const MachineId& machine, Time now);
 
  private:
-  // Adds commands up to the limit of a response.
+  // Collects commands for one response.
   class CommandList;
 
   void add_stops(const Machine& machine, Time now, CommandList& commands) const;
-  // Acknowledgements of exited tasks.
+  // Adds acknowledgements of exited tasks, which let the worker drop their results.
   void add_acknowledgements(Machine& machine, CommandList& commands) const;
   void add_starts(Machine& machine, CommandList& commands) const;
-  // Whether the worker may forget the exited task: its result must be stored before its only witness forgets
-  // it.
+  // Whether the exit may be acknowledged. The result of a completed task must be stored first, since the
+  // worker drops it on acknowledgement.
   bool may_acknowledge(const wire::ReportedTask& task) const;
-  // The machine has capacity for some job's task, and none of its own tasks is likely to end within seconds.
-  bool has_lasting_capacity(const Machine& machine, Time now) const;
+  // Whether the smallest task in the queue fits on the machine and none of its own tasks is likely to end
+  // soon.
+  bool has_stable_free_capacity(const Machine& machine, Time now) const;
 
   ClusterState& state_;
   const SchedulingConstraints& constraints_;
--- a/tests/core/cancellation_tracker_test.cpp
+++ b/tests/core/cancellation_tracker_test.cpp
@@ -1,4 +1,4 @@
-// What the leader tells of cancelled jobs that had tasks on machines.
+// Reports on cancelled jobs whose tasks may still be on machines.
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -10,16 +10,17 @@
 class CancellationTrackerTest : public ClusterTest {
  protected:
   CancellationTrackerTest() {
-    loaded();
+    complete_loading();
     submit(job_spec("job-1", 1));
-    exchange(worker);
-    exchange(worker);
-    worker.shows("job-1", 0, 1, wire::TaskState::running);
-    exchange(worker);
+    exchange_heartbeat(worker);
+    exchange_heartbeat(worker);
+    worker.report_task("job-1", 0, 1, wire::TaskState::running);
+    exchange_heartbeat(worker);
     cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
   }
 
-  std::vector<Kind> reported_kinds() {
+  // Returns the kinds of the reports since the last call.
+  std::vector<Kind> take_reported_kinds() {
     std::vector<Kind> kinds;
     for (const auto& report : cluster.take_cancellation_reports()) kinds.push_back(report.kind);
     return kinds;
@@ -28,34 +29,34 @@
   Worker worker{"n-1"};
 };
 
-TEST_F(CancellationTrackerTest, ACancellationIsFollowedFromItsFirstNewsToItsEnd) {
+TEST_F(CancellationTrackerTest, CancellationIsReportedFromStartToEnd) {
   EXPECT_EQ(cluster.cancellation_summary(now).tasks, 1u);
-  exchange(worker);
-  EXPECT_EQ(reported_kinds(), (std::vector{Kind::known, Kind::stop_sent}));
-  worker.shows("job-1", 0, 1, wire::TaskState::exited);
-  exchange(worker);
-  EXPECT_EQ(reported_kinds(), (std::vector{Kind::ended}));
+  exchange_heartbeat(worker);
+  EXPECT_EQ(take_reported_kinds(), (std::vector{Kind::known, Kind::stop_sent}));
+  worker.report_task("job-1", 0, 1, wire::TaskState::exited);
+  exchange_heartbeat(worker);
+  EXPECT_EQ(take_reported_kinds(), (std::vector{Kind::ended}));
   EXPECT_EQ(cluster.cancellation_summary(now).jobs, 0u);
 }
 
-TEST_F(CancellationTrackerTest, AJobIsReportedAtRiskOnceWhenAThirdOfItsTimeIsLeft) {
+TEST_F(CancellationTrackerTest, JobIsReportedAtRiskOnceBelowTimeThreshold) {
   const double timeout_s = cluster_config().cancellation_timeout_s;
-  reported_kinds();
-  pass(timeout_s / 2);
-  EXPECT_TRUE(reported_kinds().empty());
-  pass(timeout_s / 6 + 2);
+  take_reported_kinds();
+  advance_time(timeout_s / 2);
+  EXPECT_TRUE(take_reported_kinds().empty());
+  advance_time(timeout_s / 6 + 2);
   const auto reports = cluster.take_cancellation_reports();
   ASSERT_EQ(reports.size(), 1u);
   EXPECT_EQ(reports[0].kind, Kind::at_risk);
   EXPECT_EQ(reports[0].machine, MachineId("n-1"));
   EXPECT_LT(reports[0].time_left_s, timeout_s / 3);
   EXPECT_GT(reports[0].unheard_s, timeout_s / 2);
-  pass(3);
-  EXPECT_TRUE(reported_kinds().empty());
+  advance_time(3);
+  EXPECT_TRUE(take_reported_kinds().empty());
 }
 
-TEST_F(CancellationTrackerTest, TasksThatGoWithTheirMachineAreCounted) {
-  reported_kinds();
+TEST_F(CancellationTrackerTest, TasksOnDeletedMachineAreCounted) {
+  take_reported_kinds();
   cluster.apply(MachinesDeleted{"return/50-1", {MachineId("n-1")}}, now);
   const auto reports = cluster.take_cancellation_reports();
   ASSERT_EQ(reports.size(), 1u);
@@ -63,17 +64,17 @@
   EXPECT_EQ(reports[0].tasks_deleted, 1u);
 }
 
-TEST_F(CancellationTrackerTest, StopsInOneResponseAreOneReport) {
+TEST_F(CancellationTrackerTest, StopsInOneResponseMakeOneReport) {
   submit(job_spec("job-2", 2));
   Worker second{"n-2"};
-  exchange(second);
-  exchange(second);
-  second.shows("job-2", 0, 1, wire::TaskState::running);
-  second.shows("job-2", 1, 1, wire::TaskState::running);
-  exchange(second);
+  exchange_heartbeat(second);
+  exchange_heartbeat(second);
+  second.report_task("job-2", 0, 1, wire::TaskState::running);
+  second.report_task("job-2", 1, 1, wire::TaskState::running);
+  exchange_heartbeat(second);
   cluster.apply(JobRecordRemoved{JobId("job-2")}, now);
-  reported_kinds();
-  exchange(second);
+  take_reported_kinds();
+  exchange_heartbeat(second);
   const auto reports = cluster.take_cancellation_reports();
   ASSERT_EQ(reports.size(), 1u);
   EXPECT_EQ(reports[0].stops_sent, 2u);
--- a/tests/core/gang_capacity_reserve_test.cpp
+++ b/tests/core/gang_capacity_reserve_test.cpp
@@ -44,33 +44,34 @@
 };
 
 TEST_F(GangReserveTest, RoomIsRentedForTheNextGangOnceOneHasCome) {
-  loaded();
-  auto one = ready_worker("n-1", "a", false);
+  complete_loading();
+  auto one = connect_worker("n-1", "a", false);
   submit(gang_spec("job-1"));
-  settle();
-  ASSERT_EQ(count(answer(one), CommandKind::start), 2u);
-  pass(2);
+  assign_and_write();
+  ASSERT_EQ(count(receive_response(one), CommandKind::start), 2u);
+  advance_time(2);
   std::uint64_t rented = 0;
-  for (const auto& rent : seen<RequestScaleOut>()) rented += rent.request.count;
+  for (const auto& rent : emitted_effects<RequestScaleOut>()) rented += rent.request.count;
   EXPECT_EQ(rented, 1u);
 }
 
 TEST_F(GangReserveTest, OtherWorkStaysOffItForAWhileAndNotForLonger) {
-  loaded();
-  auto one = ready_worker("n-1", "a", false);
-  auto two = ready_worker("n-2", "a", false);
+  complete_loading();
+  auto one = connect_worker("n-1", "a", false);
+  auto two = connect_worker("n-2", "a", false);
   submit(gang_spec("job-1"));
-  settle();
+  assign_and_write();
   for (auto* worker : {&one, &two})
-    for (const auto& command : answer(*worker))
-      worker->shows(command.task.job.value, command.task.index, command.attempt, wire::TaskState::running);
-  pass(1);
+    for (const auto& command : receive_response(*worker))
+      worker->report_task(command.task.job.value, command.task.index, command.attempt,
+                          wire::TaskState::running);
+  advance_time(1);
   auto other = job_spec("job-2", 8, 4);
   submit(other);
   const auto starts_of_other = [&] {
     std::size_t starts = 0;
     for (auto* worker : {&one, &two})
-      for (const auto& command : exchange(*worker))
+      for (const auto& command : exchange_heartbeat(*worker))
         starts += command.kind == CommandKind::start && command.task.job == other.id;
     return starts;
   };
@@ -78,7 +79,7 @@
   std::size_t early = 0;
   std::size_t late = 0;
   while (now - began < constants::kGangReserveWait + 15) {
-    pass(1);
+    advance_time(1);
     (now - began < constants::kGangReserveWait ? early : late) += starts_of_other();
   }
   EXPECT_EQ(early, 0u);
--- a/tests/core/job_queue_test.cpp
+++ b/tests/core/job_queue_test.cpp
@@ -16,7 +16,7 @@
     return config;
   }
 
-  JobQueueTest() { state.update_types({small_type()}); }
+  JobQueueTest() { state.update_types({small_machine_type()}); }
 
   Job& add(const std::string& id, Time submitted, wire::Priority priority = wire::Priority::normal,
            const std::string& team = "team") {
--- a/tests/core/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -11,25 +11,27 @@
 class PlacementTest : public ClusterTest {};
 
 TEST_F(PlacementTest, SpreadJobPutsAtMostHalfIntoAZone) {
-  loaded();
-  auto first = ready_worker("n-1", "a");
-  auto second = ready_worker("n-2", "a");
+  complete_loading();
+  auto first = connect_worker("n-1", "a");
+  auto second = connect_worker("n-2", "a");
   auto spec = job_spec("job-1", 3);
   spec.spread = true;
   submit(spec);
-  EXPECT_EQ(count(exchange(first), CommandKind::start) + count(exchange(second), CommandKind::start), 2u);
-  auto far = ready_worker("n-3", "b");
+  EXPECT_EQ(count(exchange_heartbeat(first), CommandKind::start) +
+                count(exchange_heartbeat(second), CommandKind::start),
+            2u);
+  auto far = connect_worker("n-3", "b");
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 3u);
 }
 
 TEST_F(PlacementTest, OneZoneJobStaysWhereItsFirstTaskIs) {
-  loaded();
-  auto first = ready_worker("n-1", "a");
-  auto far = ready_worker("n-2", "b");
+  complete_loading();
+  auto first = connect_worker("n-1", "a");
+  auto far = connect_worker("n-2", "b");
   auto spec = job_spec("job-1", 4);
   spec.same_zone = true;
   submit(spec);
-  settle();
+  assign_and_write();
   std::set<std::string> zones;
   for (const auto& [index, assignment] : cluster.job(JobId("job-1"))->assignments)
     zones.insert(assignment.machine->zone);
@@ -38,175 +40,177 @@
 }
 
 TEST_F(PlacementTest, JobThatMayNotUseSpotMachinesWaitsForAnother) {
-  loaded();
-  auto spot = ready_worker("n-1", "a", true);
+  complete_loading();
+  auto spot = connect_worker("n-1", "a", true);
   auto spec = job_spec("job-1", 1);
   spec.spot_allowed = false;
   submit(spec);
-  EXPECT_EQ(count(exchange(spot), CommandKind::start), 0u);
-  pass(8);
-  ASSERT_FALSE(seen<RequestScaleOut>().empty());
-  EXPECT_FALSE(seen<RequestScaleOut>()[0].request.spot);
+  EXPECT_EQ(count(exchange_heartbeat(spot), CommandKind::start), 0u);
+  advance_time(8);
+  ASSERT_FALSE(emitted_effects<RequestScaleOut>().empty());
+  EXPECT_FALSE(emitted_effects<RequestScaleOut>()[0].request.spot);
 }
 
 TEST_F(PlacementTest, UrgentJobGoesFirst) {
-  loaded();
+  complete_loading();
   submit(job_spec("job-1", 2));
   auto urgent = job_spec("job-2", 2);
   urgent.priority = wire::Priority::high;
   submit(urgent);
-  auto worker = ready_worker("n-1");
+  auto worker = connect_worker("n-1");
   EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.size(), 2u);
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 0u);
 }
 
 TEST_F(PlacementTest, WaitingWorkRentsTheCheapestKindAndTriesTheNextWhenRefused) {
-  loaded();
+  complete_loading();
   submit(job_spec("job-1", 2));
-  pass(6);
-  auto rents = seen<RequestScaleOut>();
+  advance_time(6);
+  auto rents = emitted_effects<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_TRUE(rents[0].request.spot);
   EXPECT_EQ(rents[0].request.count, 1u);
   cluster.apply(ScaleOutRefused{rents[0].request.id}, now);
-  pass(5);
-  rents = seen<RequestScaleOut>();
+  advance_time(5);
+  rents = emitted_effects<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 2u);
   EXPECT_TRUE(rents[1].request.spot);
   EXPECT_NE(rents[1].request.zone, rents[0].request.zone);
   EXPECT_NE(rents[1].request.id, rents[0].request.id);
   cluster.apply(ScaleOutRefused{rents[1].request.id}, now);
-  pass(5);
-  rents = seen<RequestScaleOut>();
+  advance_time(5);
+  rents = emitted_effects<RequestScaleOut>();
   for (const auto& each : rents)
     EXPECT_TRUE(each.request.spot) << "not an ordinary one while the job has time to wait";
-  for (int i = 0; i < 20 && seen<RequestScaleOut>().back().request.spot; ++i) {
-    pass(5);
-    rents = seen<RequestScaleOut>();
+  for (int i = 0; i < 20 && emitted_effects<RequestScaleOut>().back().request.spot; ++i) {
+    advance_time(5);
+    rents = emitted_effects<RequestScaleOut>();
     if (rents.back().request.spot) cluster.apply(ScaleOutRefused{rents.back().request.id}, now);
   }
-  EXPECT_FALSE(seen<RequestScaleOut>().back().request.spot);
+  EXPECT_FALSE(emitted_effects<RequestScaleOut>().back().request.spot);
   EXPECT_LE(now, 75);
 }
 
 TEST_F(PlacementTest, RentOfAnEarlierLeaderIsAskedAgainUnderItsName) {
   cluster.apply(ScaleOutLoaded{{ScaleOutId("r-20-1"), "small", "a", true, 2}}, now);
-  loaded();
-  const auto rents = seen<RequestScaleOut>();
+  complete_loading();
+  const auto rents = emitted_effects<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_EQ(rents[0].request.id, ScaleOutId("r-20-1"));
   EXPECT_TRUE(rents[0].recorded);
   cluster.apply(ScaleOutGranted{ScaleOutId("r-20-1"), {MachineId("n-1"), MachineId("n-2")}}, now);
   submit(job_spec("job-1", 4));
-  pass(10);
-  EXPECT_EQ(seen<RequestScaleOut>().size(), 1u) << "the booting machines are enough";
+  advance_time(10);
+  EXPECT_EQ(emitted_effects<RequestScaleOut>().size(), 1u) << "the booting machines are enough";
 }
 
 TEST_F(PlacementTest, NearlyDoneTasksAreWaitedForBeforeRenting) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   submit(job_spec("job-1", 2));
-  exchange(worker);
-  worker.shows("job-1", 0, 1, TaskState::running);
-  worker.shows("job-1", 1, 1, TaskState::running);
-  exchange(worker);
+  exchange_heartbeat(worker);
+  worker.report_task("job-1", 0, 1, TaskState::running);
+  worker.report_task("job-1", 1, 1, TaskState::running);
+  exchange_heartbeat(worker);
   for (int i = 0; i < 19; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
   submit(job_spec("job-2", 2));  // 38 s into tasks of 40 s
   for (int i = 0; i < 3; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
-  EXPECT_TRUE(seen<RequestScaleOut>().empty());
+  EXPECT_TRUE(emitted_effects<RequestScaleOut>().empty());
 }
 
 TEST_F(PlacementTest, EmptyMachineGoesBackOnlyAfterAWhile) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   for (int i = 0; i < 5; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
-  EXPECT_TRUE(seen<RequestScaleIn>().empty());
+  EXPECT_TRUE(emitted_effects<RequestScaleIn>().empty());
   for (int i = 0; i < 30; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
-  ASSERT_FALSE(seen<RequestScaleIn>().empty());
-  EXPECT_EQ(seen<RequestScaleIn>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
+  ASSERT_FALSE(emitted_effects<RequestScaleIn>().empty());
+  EXPECT_EQ(emitted_effects<RequestScaleIn>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
 }
 
 TEST_F(PlacementTest, LastingWorkOnAnOrdinaryMachineRentsASpotOneAndItsEndStopsThat) {
-  loaded();
-  auto worker = ready_worker("n-1", "a", false);
+  complete_loading();
+  auto worker = connect_worker("n-1", "a", false);
   auto spec = job_spec("job-1", 2);
   spec.estimated_run_s = 400;
   submit(spec);
-  exchange(worker);
-  worker.shows("job-1", 0, 1, TaskState::running);
-  worker.shows("job-1", 1, 1, TaskState::running);
-  for (int i = 0; i < 60 && seen<RequestScaleOut>().empty(); ++i) {
-    pass(2);
-    exchange(worker);
+  exchange_heartbeat(worker);
+  worker.report_task("job-1", 0, 1, TaskState::running);
+  worker.report_task("job-1", 1, 1, TaskState::running);
+  for (int i = 0; i < 60 && emitted_effects<RequestScaleOut>().empty(); ++i) {
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
-  const auto rents = seen<RequestScaleOut>();
+  const auto rents = emitted_effects<RequestScaleOut>();
   ASSERT_EQ(rents.size(), 1u);
   EXPECT_TRUE(rents[0].request.spot);
   cluster.apply(ScaleOutRefused{rents[0].request.id}, now);
   cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
   worker.tasks.clear();
   for (int i = 0; i < 60; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
-  EXPECT_EQ(seen<RequestScaleOut>().size(), 1u);
+  EXPECT_EQ(emitted_effects<RequestScaleOut>().size(), 1u);
 }
 
 TEST_F(PlacementTest, MachineThatNeverBootsIsDeleted) {
-  loaded();
+  complete_loading();
   cluster.apply(MachinesListed{{{MachineId("n-1"), "small", "a", true, wire::InstanceState::booting, 1}}},
                 now);
-  pass(100);
-  EXPECT_TRUE(seen<RequestScaleIn>().empty());
-  pass(60);
-  EXPECT_FALSE(seen<RequestScaleIn>().empty());
+  advance_time(100);
+  EXPECT_TRUE(emitted_effects<RequestScaleIn>().empty());
+  advance_time(60);
+  EXPECT_FALSE(emitted_effects<RequestScaleIn>().empty());
 }
 
 TEST_F(PlacementTest, MachineThatFailsTasksOfSeveralJobsIsDrainedAndDeleted) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   submit(job_spec("job-1", 1));
   submit(job_spec("job-2", 1));
-  exchange(worker);
-  worker.shows("job-1", 0, 1, TaskState::exited, ExitCause::error);
-  worker.shows("job-2", 0, 1, TaskState::exited, ExitCause::error);
-  exchange(worker);
+  exchange_heartbeat(worker);
+  worker.report_task("job-1", 0, 1, TaskState::exited, ExitCause::error);
+  worker.report_task("job-2", 0, 1, TaskState::exited, ExitCause::error);
+  exchange_heartbeat(worker);
   submit(job_spec("job-3", 1));
   worker.tasks.clear();
-  EXPECT_EQ(count(exchange(worker), CommandKind::start), 0u) << "nothing more goes there while it is judged";
+  EXPECT_EQ(count(exchange_heartbeat(worker), CommandKind::start), 0u)
+      << "nothing more goes there while it is judged";
   for (int i = 0; i < 6; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
-  EXPECT_EQ(seen<RequestScaleIn>().at(0).machines[0], MachineId("n-1"));
+  EXPECT_EQ(emitted_effects<RequestScaleIn>().at(0).machines[0], MachineId("n-1"));
 }
 
 TEST_F(PlacementTest, MachineOnWhichTasksTakeSeveralTimesAsLongAsElsewhereIsLeft) {
-  loaded();
-  std::vector<Worker> workers{ready_worker("n-1"), ready_worker("n-2"), ready_worker("n-3")};
+  complete_loading();
+  std::vector<Worker> workers{connect_worker("n-1"), connect_worker("n-2"), connect_worker("n-3")};
   submit(job_spec("job-1", 6));
-  settle();
+  assign_and_write();
   for (auto& worker : workers)
-    for (const auto& command : answer(worker))
-      worker.shows("job-1", command.task.index, command.attempt, TaskState::running);
+    for (const auto& command : receive_response(worker))
+      worker.report_task("job-1", command.task.index, command.attempt, TaskState::running);
   // Reports for so many seconds; returns how many tasks a machine was told to stop.
   auto run = [&](int seconds) {
     std::size_t stopped = 0;
     for (; seconds > 0; seconds -= 2) {
-      pass(2);
-      for (auto& worker : workers) stopped = std::max(stopped, count(exchange(worker), CommandKind::stop));
+      advance_time(2);
+      for (auto& worker : workers)
+        stopped = std::max(stopped, count(exchange_heartbeat(worker), CommandKind::stop));
     }
     return stopped;
   };
@@ -223,32 +227,32 @@
   EXPECT_EQ(cluster.job(JobId("job-1"))->waiting_tasks(), 2u) << "they go on elsewhere";
   run(6);
   std::set<MachineId> returned;
-  for (const auto& effect : seen<RequestScaleIn>())
+  for (const auto& effect : emitted_effects<RequestScaleIn>())
     returned.insert(effect.machines.begin(), effect.machines.end());
   EXPECT_TRUE(returned.contains(MachineId("n-3")));
 
-  workers = {ready_worker("n-4")};
-  for (const auto& command : answer(workers[0]))
-    workers[0].shows("job-1", command.task.index, command.attempt, TaskState::running);
+  workers = {connect_worker("n-4")};
+  for (const auto& command : receive_response(workers[0]))
+    workers[0].report_task("job-1", command.task.index, command.attempt, TaskState::running);
   ASSERT_EQ(workers[0].tasks.size(), 2u);
   EXPECT_EQ(run(80), 0u) << "tasks that do take that long are not moved on for ever";
 }
 
 TEST_F(PlacementTest, JobThatFailsEverywhereSlowsDownAndBlamesNoMachine) {
-  loaded();
+  complete_loading();
   std::vector<Worker> workers;
-  for (int i = 1; i <= 4; ++i) workers.push_back(ready_worker("n-" + std::to_string(i)));
+  for (int i = 1; i <= 4; ++i) workers.push_back(connect_worker("n-" + std::to_string(i)));
   submit(job_spec("job-1", 1));
   submit(job_spec("job-2", 1));
   std::size_t starts = 0;
   for (int round = 0; round < 20; ++round) {
-    pass(1);
+    advance_time(1);
     for (auto& worker : workers) {
-      for (const auto& command : exchange(worker)) {
+      for (const auto& command : exchange_heartbeat(worker)) {
         if (command.kind == CommandKind::start) {
           ++starts;
-          worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::exited,
-                       ExitCause::error);
+          worker.report_task(command.task.job.value, command.task.index, command.attempt, TaskState::exited,
+                             ExitCause::error);
         } else if (command.kind == CommandKind::acknowledge) {
           std::erase_if(worker.tasks, [&](const auto& t) {
             return t.task == command.task && t.attempt == command.attempt;
@@ -267,41 +271,41 @@
 }
 
 TEST_F(PlacementTest, NoticeLetsATaskSaveInTimeAndBringsNoNewWork) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   auto spec = job_spec("job-1", 1);
   spec.checkpoint_interval_s = 15;
   spec.checkpoint_duration_s = 2;
   submit(spec);
-  exchange(worker);
-  worker.shows("job-1", 0, 1, TaskState::running);
+  exchange_heartbeat(worker);
+  worker.report_task("job-1", 0, 1, TaskState::running);
   worker.termination_notice_s = 20;
-  EXPECT_EQ(count(exchange(worker), CommandKind::stop), 0u) << "there is time to go on";
+  EXPECT_EQ(count(exchange_heartbeat(worker), CommandKind::stop), 0u) << "there is time to go on";
   submit(job_spec("job-2", 1));
   worker.termination_notice_s = 6;
-  const auto commands = exchange(worker);
+  const auto commands = exchange_heartbeat(worker);
   ASSERT_EQ(count(commands, CommandKind::stop), 1u);
   EXPECT_EQ(commands[0].grace_s, 2);
   EXPECT_EQ(count(commands, CommandKind::start), 0u);
 }
 
 TEST_F(PlacementTest, LesserWorkIsStoppedWhenAnUrgentJobFindsNoRoom) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   auto low = job_spec("job-1", 2);
   low.checkpoint_interval_s = 10;
   low.checkpoint_duration_s = 1;
   submit(low);
-  exchange(worker);
-  worker.shows("job-1", 0, 1, TaskState::running);
-  worker.shows("job-1", 1, 1, TaskState::running);
-  exchange(worker);
+  exchange_heartbeat(worker);
+  worker.report_task("job-1", 0, 1, TaskState::running);
+  worker.report_task("job-1", 1, 1, TaskState::running);
+  exchange_heartbeat(worker);
   auto urgent = job_spec("job-2", 1);
   urgent.priority = wire::Priority::high;
   submit(urgent);
   for (int i = 0; i < 5; ++i) {
-    pass(2);
-    exchange(worker);
+    advance_time(2);
+    exchange_heartbeat(worker);
   }
   std::size_t stopping = 0;
   for (const auto& [index, assignment] : cluster.job(JobId("job-1"))->assignments)
@@ -310,17 +314,17 @@
 }
 
 TEST_F(PlacementTest, HugeJobIsPlacedInBatchesAndItsPagesFitTheirValues) {
-  loaded();
+  complete_loading();
   std::vector<Worker> workers;
-  for (int i = 0; i < 30; ++i) workers.push_back(ready_worker("n-" + std::to_string(100 + i)));
+  for (int i = 0; i < 30; ++i) workers.push_back(connect_worker("n-" + std::to_string(100 + i)));
   submit(job_spec("job-1", 100'000, 0.05));
-  for (int i = 0; i < 15; ++i) settle();
+  for (int i = 0; i < 15; ++i) assign_and_write();
   const Job* job = cluster.job(JobId("job-1"));
   EXPECT_EQ(job->assignments.size(), 30u * 160u);
   EXPECT_TRUE(std::all_of(job->tasks.begin(), job->tasks.begin() + 4800,
                           [](const TaskProgress& slot) { return slot.durable(); }));
   std::size_t pages = 0;
-  for (const auto& save : saves) {
+  for (const auto& save : applied_writes) {
     ASSERT_EQ(save.transaction.puts.size(), 1u);
     EXPECT_LE(save.transaction.puts[0].value.dump().size(), 4096u);
     ++pages;
@@ -330,40 +334,41 @@
 
 // Small tasks strewn over the only machines that hold large ones kept these out for minutes (an incident).
 TEST_F(PlacementTest, SmallTasksLeaveAMachineToTheLargeOneThatNeedsIt) {
-  auto large = small_type("large", 16, 4.0, 1.2);
-  cluster.apply(MachineTypesChanged{{small_type(), large}}, now);
-  loaded();
+  auto large = small_machine_type("large", 16, 4.0, 1.2);
+  cluster.apply(MachineTypesChanged{{small_machine_type(), large}}, now);
+  complete_loading();
   Worker worker{"n-1"};
   worker.type = "large";
-  exchange(worker);
-  exchange(worker);
+  exchange_heartbeat(worker);
+  exchange_heartbeat(worker);
   auto filler = job_spec("job-1", 1, 8);
   submit(filler);
-  settle();
+  assign_and_write();
   auto big = job_spec("job-2", 1, 16);
   big.deadline_s = 60;
   submit(big);
   for (int i = 0; i < 5; ++i) {
-    pass(1);
-    exchange(worker);
-    for (const auto& rent : seen<RequestScaleOut>()) cluster.apply(ScaleOutRefused{rent.request.id}, now);
+    advance_time(1);
+    exchange_heartbeat(worker);
+    for (const auto& rent : emitted_effects<RequestScaleOut>())
+      cluster.apply(ScaleOutRefused{rent.request.id}, now);
   }
   auto small = job_spec("job-3", 2);
   small.priority = wire::Priority::high;
   small.deadline_s = 300;
   submit(small);
-  settle();
+  assign_and_write();
   EXPECT_EQ(cluster.job(JobId("job-3"))->assignments.size(), 0u);
-  pass(4);
-  const auto rents = seen<RequestScaleOut>();
+  advance_time(4);
+  const auto rents = emitted_effects<RequestScaleOut>();
   EXPECT_TRUE(
       std::any_of(rents.begin(), rents.end(), [](const auto& each) { return each.request.type == "small"; }));
 }
 
 // A day fails if the largest jobs of a class have not begun within four minutes.
 TEST_F(PlacementTest, JobThatHasNotBegunForLongGoesAheadOfMoreUrgentWork) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   auto large = job_spec("job-1", 40, 8);
   submit(large);
   std::size_t urgent = 2;
@@ -375,17 +380,17 @@
       spec.estimated_run_s = 2;
       submit(spec);
     }
-    for (const auto& command : exchange(worker)) {
+    for (const auto& command : exchange_heartbeat(worker)) {
       if (command.kind == CommandKind::start)
-        worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
+        worker.report_task(command.task.job.value, command.task.index, command.attempt, TaskState::running);
       if (command.kind == CommandKind::acknowledge) worker.tasks.clear();
     }
-    exchange(worker);
+    exchange_heartbeat(worker);
     for (auto& task : worker.tasks) {
       task.state = TaskState::exited;
       task.cause = ExitCause::done;
     }
-    pass(2);
+    advance_time(2);
     waited += 2;
   }
   EXPECT_GE(waited, 60) << "urgent work goes first at all other times";
@@ -393,33 +398,33 @@
 }
 
 TEST_F(PlacementTest, WorkFillsMachinesInUseBeforeAnEmptyOneUnlessItCantWait) {
-  loaded();
-  auto used = ready_worker("n-1");
+  complete_loading();
+  auto used = connect_worker("n-1");
   submit(job_spec("job-1", 1));
-  exchange(used);
-  used.shows("job-1", 0, 1, TaskState::running);
-  exchange(used);
-  auto empty = ready_worker("n-2");
-  pass(1);
-  heartbeat_only(empty);
+  exchange_heartbeat(used);
+  used.report_task("job-1", 0, 1, TaskState::running);
+  exchange_heartbeat(used);
+  auto empty = connect_worker("n-2");
+  advance_time(1);
+  send_heartbeat(empty);
   auto patient = job_spec("job-2", 1);
   patient.deadline_s = 300;
   submit(patient);
-  settle();
+  assign_and_write();
   EXPECT_TRUE(cluster.job(JobId("job-2"))->assignments.empty()) << "n-1 has room and will report soon";
   auto hasty = job_spec("job-3", 1, 8);
   hasty.deadline_s = 45;
   submit(hasty);
-  settle();
+  assign_and_write();
   EXPECT_EQ(cluster.job(JobId("job-3"))->assignments.size(), 1u);
-  heartbeat_only(used);
+  send_heartbeat(used);
   EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.at(0).machine->id, MachineId("n-1"));
 }
 
 // At 1,750 machines passes over the whole fleet took most of the leader's processor.
 TEST_F(PlacementTest, WorkOfAReportDoesNotGrowWithTheFleet) {
   LeaderStateMachine large(cluster_config(), FencingToken(kToken), 0, 0);
-  large.apply(MachineTypesChanged{{small_type()}}, 0);
+  large.apply(MachineTypesChanged{{small_machine_type()}}, 0);
   large.apply(LoadCompleted{}, 0);
   constexpr int kMachines = 2050;
   constexpr int kJobs = 300;
@@ -443,12 +448,12 @@
   for (int round = 0; round < 3; ++round) {
     for (auto& worker : workers) {
       time += 0.001;
-      large.apply_heartbeat(worker.heartbeat(), time);
+      large.apply_heartbeat(worker.next_heartbeat(), time);
       large.assign_tasks(time);
       save();
       for (const auto& command : large.commands_for(MachineId(worker.name), true, time)) {
         started += command.kind == CommandKind::start;
-        worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
+        worker.report_task(command.task.job.value, command.task.index, command.attempt, TaskState::running);
       }
       large.response_sent(MachineId(worker.name), time);
       worker.token = kToken;
@@ -460,7 +465,7 @@
   EXPECT_LT(large.scanned(), 3u * kMachines * 2 * kJobs);
   const auto before = large.scanned();
   time += 0.001;
-  large.apply_heartbeat(workers[0].heartbeat(), time);  // full
+  large.apply_heartbeat(workers[0].next_heartbeat(), time);  // full
   large.assign_tasks(time);
   EXPECT_LE(large.scanned() - before, 2u);
   // Nor does a second's review look at every machine for every job that waits for room.
@@ -481,24 +486,24 @@
 };
 
 TEST_F(StartObjectiveTest, RoomThatOthersWillFreeSoonIsNotWaitedForUntilTheObjectiveIsMissed) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   submit(job_spec("job-1", 2));
-  settle();
-  for (const auto& command : answer(worker))
-    worker.shows("job-1", command.task.index, command.attempt, TaskState::running);
+  assign_and_write();
+  for (const auto& command : receive_response(worker))
+    worker.report_task("job-1", command.task.index, command.attempt, TaskState::running);
   auto run = [&](int seconds) {
     for (; seconds > 0; --seconds) {
-      pass(1);
-      exchange(worker);
+      advance_time(1);
+      exchange_heartbeat(worker);
     }
   };
   run(20);  // of 40, and a boot takes as long: half-way through they will be done before another is up
   submit(job_spec("job-2", 2));
   run(2);
-  EXPECT_TRUE(seen<RequestScaleOut>().empty());
+  EXPECT_TRUE(emitted_effects<RequestScaleOut>().empty());
   run(3);
-  EXPECT_FALSE(seen<RequestScaleOut>().empty()) << "in a large fleet as much arrives as is freed";
+  EXPECT_FALSE(emitted_effects<RequestScaleOut>().empty()) << "in a large fleet as much arrives as is freed";
 }
 
 class GuaranteeTest : public ClusterTest {
@@ -512,13 +517,13 @@
 };
 
 TEST_F(GuaranteeTest, TeamWithinItsGuaranteeNeedNotWaitForMoreUrgentWorkOfOthers) {
-  loaded();
+  complete_loading();
   auto other = job_spec("job-1", 2);
   other.team = "other";
   other.priority = wire::Priority::critical;
   submit(other);
   submit(job_spec("job-2", 2));
-  auto worker = ready_worker("n-1");
+  auto worker = connect_worker("n-1");
   EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.size(), 2u);
 }
 
@@ -526,8 +531,8 @@
 class PreemptionTest : public PlacementTest {
  protected:
   void fill(wire::Priority priority) {
-    loaded();
-    for (const char* name : {"n-1", "n-2"}) workers.push_back(ready_worker(name));
+    complete_loading();
+    for (const char* name : {"n-1", "n-2"}) workers.push_back(connect_worker(name));
     auto work = job_spec("job-1", 8, 2);
     work.priority = priority;
     work.estimated_run_s = 300;
@@ -539,9 +544,9 @@
   std::size_t exchange_all() {
     std::size_t stops = 0;
     for (auto& worker : workers)
-      for (const auto& command : exchange(worker)) {
+      for (const auto& command : exchange_heartbeat(worker)) {
         if (command.kind == CommandKind::start)
-          worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
+          worker.report_task(command.task.job.value, command.task.index, command.attempt, TaskState::running);
         stops += command.kind == CommandKind::stop;
       }
     return stops;
@@ -553,7 +558,7 @@
     submit(urgent);
     std::size_t stops = 0;
     for (int i = 0; i < 6 && (stops == 0 || !first_round_only); ++i) {
-      pass(1.5);
+      advance_time(1.5);
       stops = std::max(stops, exchange_all());
     }
     return stops;
@@ -580,8 +585,8 @@
 }
 
 TEST_F(PlacementTest, WorkOfTheLowestPriorityMakesWayFirstWhateverItsLoss) {
-  loaded();
-  auto worker = ready_worker("n-1");
+  complete_loading();
+  auto worker = connect_worker("n-1");
   auto saving = job_spec("job-1", 1, 4);  // it would lose least
   saving.checkpoint_interval_s = 10;
   saving.checkpoint_duration_s = 1;
@@ -590,17 +595,17 @@
   idle_work.priority = wire::Priority::low;
   idle_work.estimated_run_s = 300;
   submit(idle_work);
-  for (const auto& command : exchange(worker))
-    worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
+  for (const auto& command : exchange_heartbeat(worker))
+    worker.report_task(command.task.job.value, command.task.index, command.attempt, TaskState::running);
   ASSERT_EQ(worker.tasks.size(), 2u);
-  exchange(worker);
+  exchange_heartbeat(worker);
   auto urgent = job_spec("job-3", 1, 4);
   urgent.priority = wire::Priority::high;
   submit(urgent);
   std::vector<wire::Command> stops;
   for (int i = 0; i < 6 && stops.empty(); ++i) {
-    pass(2);
-    for (const auto& command : exchange(worker))
+    advance_time(2);
+    for (const auto& command : exchange_heartbeat(worker))
       if (command.kind == CommandKind::stop) stops.push_back(command);
   }
   ASSERT_EQ(stops.size(), 1u);
--- a/tests/core/scheduling_constraints_test.cpp
+++ b/tests/core/scheduling_constraints_test.cpp
@@ -15,7 +15,7 @@
     return config;
   }
 
-  SchedulingConstraintsTest() { state.update_types({small_type()}); }
+  SchedulingConstraintsTest() { state.update_types({small_machine_type()}); }
 
   Machine& machine(const std::string& id, const std::string& zone) {
     Machine& added = state.find_or_add_machine(MachineId(id), now);
--- a/tests/scenarios/cancelled_task_test.cpp
+++ b/tests/scenarios/cancelled_task_test.cpp
@@ -37,7 +37,7 @@
 };
 
 void start_long_jobs(Simulation& simulation, int jobs) {
-  for (int i = 0; i < jobs; ++i) simulation.submit(long_job("job-" + std::to_string(i), 2));
+  for (int i = 0; i < jobs; ++i) simulation.submit(long_job_spec("job-" + std::to_string(i), 2));
   const bool running = simulation.run_until(
       [&] {
         for (int i = 0; i < jobs; ++i)
--- a/tests/scenarios/fault_combination_test.cpp
+++ b/tests/scenarios/fault_combination_test.cpp
@@ -45,7 +45,7 @@
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
     simulation.lost_target = peer::kCancelledPath;  // nothing may rest on that word
-    for (int i = 0; i < 4; ++i) simulation.submit(long_job("job-" + std::to_string(i), 2));
+    for (int i = 0; i < 4; ++i) simulation.submit(long_job_spec("job-" + std::to_string(i), 2));
     ASSERT_TRUE(simulation.run_until(
         [&] { return all_running(simulation, "job-0") && all_running(simulation, "job-3"); }, 60));
     const int leader = *simulation.leader();
@@ -74,7 +74,7 @@
 
 TEST(LeaderRefusedAlone, IsToldOfCancellationsByWhoeverConfirmsThem) {
   Simulation simulation({.seed = 1});
-  simulation.submit(long_job("job-1", 3));
+  simulation.submit(long_job_spec("job-1", 3));
   ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
   const int leader = *simulation.leader();
   simulation.inject_fault(Simulation::host(leader), "store", Link::refuse, 30);
@@ -115,7 +115,7 @@
     simulation.submit(std::move(spec));
   }
   // Only a cancellation ends these.
-  for (int i = 0; i < 3; ++i) simulation.submit(long_job("job-" + std::to_string(40 + i), 2));
+  for (int i = 0; i < 3; ++i) simulation.submit(long_job_spec("job-" + std::to_string(40 + i), 2));
 }
 
 // Until the long jobs run everywhere.
@@ -249,7 +249,7 @@
     {"TeamAtItsLimitChangesLeaderWithMachinesOutOfReach",
      [](Simulation& simulation) {
        for (int i = 0; i < 3; ++i) {
-         auto spec = long_job("job-" + std::to_string(70 + i), 2);
+         auto spec = long_job_spec("job-" + std::to_string(70 + i), 2);
          spec.team = "other";
          simulation.submit(std::move(spec));
        }
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -37,31 +37,31 @@
 };
 
 TEST_F(LowestLimitsTest, NothingThatALeaderWritesNeedsMore) {
-  loaded();
+  complete_loading();
   std::vector<Worker> workers;
   for (int i = 0; i < 110; ++i)
-    workers.push_back(ready_worker("n-" + std::to_string(100000 + i), "a", false));
+    workers.push_back(connect_worker("n-" + std::to_string(100000 + i), "a", false));
   for (int i = 0; i < 20; ++i) submit(job_spec("job-" + std::to_string(i), 2, 4));
   auto gang = job_spec("job-100", 80, 4);
   gang.kind = wire::JobKind::gang;
   submit(gang);
-  for (auto& worker : workers) heartbeat_only(worker);
-  settle();
+  for (auto& worker : workers) send_heartbeat(worker);
+  assign_and_write();
   for (auto& worker : workers) {
-    for (const auto& command : answer(worker))
+    for (const auto& command : receive_response(worker))
       if (command.kind == wire::CommandKind::start)
-        worker.shows(command.task.job.value, command.task.index, command.attempt, wire::TaskState::exited,
-                     wire::ExitCause::done);
+        worker.report_task(command.task.job.value, command.task.index, command.attempt,
+                           wire::TaskState::exited, wire::ExitCause::done);
   }
-  for (auto& worker : workers) exchange(worker);
-  pass(60);  // idle machines go back
+  for (auto& worker : workers) exchange_heartbeat(worker);
+  advance_time(60);  // idle machines go back
   std::set<std::string> kinds;
-  for (const auto& save : saves) {
+  for (const auto& save : applied_writes) {
     expect_fits(save.transaction);
     for (const auto& put : save.transaction.puts) kinds.insert(put.key.substr(0, put.key.find('/')));
   }
   EXPECT_EQ(kinds, (std::set<std::string>{"gang", "over", "page"}));
-  const auto returns = seen<RequestScaleIn>();
+  const auto returns = emitted_effects<RequestScaleIn>();
   ASSERT_FALSE(returns.empty());
   std::size_t given_back = 0;
   for (const auto& each : returns) {
@@ -69,23 +69,23 @@
     EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
   }
   EXPECT_GE(given_back, 100u);
-  for (const auto& each : seen<RequestScaleOut>())
+  for (const auto& each : emitted_effects<RequestScaleOut>())
     EXPECT_LE(wire::to_json(each.request).dump().size(), kLeastBytes);
 }
 
 TEST_F(LowestLimitsTest, AReturnOfManyMachinesIsRecordedInSeveralValues) {
-  loaded();
+  complete_loading();
   std::vector<Worker> workers;
   for (int i = 0; i < 110; ++i) {
     workers.push_back(Worker{"n-" + std::to_string(100000 + i), "a", false});
-    exchange(workers.back());
+    exchange_heartbeat(workers.back());
   }
   std::size_t given_back = 0;
   for (int i = 0; i < 30; ++i) {
-    for (auto& worker : workers) exchange(worker);
-    pass(1);
+    for (auto& worker : workers) exchange_heartbeat(worker);
+    advance_time(1);
   }
-  for (const auto& each : seen<RequestScaleIn>()) {
+  for (const auto& each : emitted_effects<RequestScaleIn>()) {
     given_back += each.machines.size();
     EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
   }
@@ -109,12 +109,12 @@
 }
 
 TEST_F(LowestLimitsTest, APageThatIsRefusedAllTheSameIsWrittenInSmallerOnes) {
-  loaded();
+  complete_loading();
   std::vector<Worker> workers;
-  for (int i = 0; i < 60; ++i) workers.push_back(ready_worker("n-" + std::to_string(100000 + i)));
-  store_answers = false;
+  for (int i = 0; i < 60; ++i) workers.push_back(connect_worker("n-" + std::to_string(100000 + i)));
+  state_service_available = false;
   submit(job_spec("job-1", 60, 8));
-  settle();
+  assign_and_write();
   now += 10;
   std::size_t last = 0;
   std::set<TaskIndex> stored;
@@ -141,8 +141,8 @@
 class UsualLimitsTest : public ClusterTest {};
 
 TEST_F(UsualLimitsTest, EndsThatAreRefusedTogetherAreRecordedOneByOne) {
-  for (int i = 0; i < 3; ++i) inherit(job_spec("job-" + std::to_string(i), 1), {{0, 1, {}, true}});
-  loaded();
+  for (int i = 0; i < 3; ++i) load_job(job_spec("job-" + std::to_string(i), 1), {{0, 1, {}, true}});
+  complete_loading();
   const auto together = cluster.next_write(now);
   ASSERT_TRUE(together);
   ASSERT_EQ(together->completed_jobs.size(), 3u);
@@ -157,20 +157,20 @@
 }
 
 TEST_F(LowestLimitsTest, AGangsRecordThatIsRefusedIsWrittenInSmallerPartsUnderTheNextNumber) {
-  loaded();
+  complete_loading();
   std::vector<Worker> workers;
-  for (int i = 0; i < 30; ++i) workers.push_back(ready_worker("n-" + std::to_string(100000 + i)));
-  store_answers = false;
+  for (int i = 0; i < 30; ++i) workers.push_back(connect_worker("n-" + std::to_string(100000 + i)));
+  state_service_available = false;
   auto gang = job_spec("job-1", 30, 8);
   gang.kind = wire::JobKind::gang;
   submit(gang);
-  settle();
+  assign_and_write();
   const auto first = cluster.next_write(now);
   ASSERT_TRUE(first);
   cluster.apply(WriteRejected{first->number}, now);
-  settle();
-  for (auto& worker : workers) heartbeat_only(worker);
-  settle();
+  assign_and_write();
+  for (auto& worker : workers) send_heartbeat(worker);
+  assign_and_write();
   const auto second = cluster.next_write(now);
   ASSERT_TRUE(second);
   EXPECT_TRUE(second->transaction.puts.at(0).key.starts_with("gang/job-1/2/"));
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -1,4 +1,4 @@
-// A cluster under test with a store that saves at once when told to, and workers made of reports.
+// Test fixture around a leader's state machine, with simulated workers and a simulated state service.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,10 +13,10 @@
 
 namespace dockdyke::testing {
 
-using namespace dockdyke::core;  // the tests speak the core's language
+using namespace dockdyke::core;
 
-inline wire::MachineType small_type(std::string name = "small", double cpus = 8, double price = 1.0,
-                                    double spot_price = 0.3) {
+inline wire::MachineType small_machine_type(std::string name = "small", double cpus = 8, double price = 1.0,
+                                            double spot_price = 0.3) {
   wire::MachineType type;
   type.name = std::move(name);
   type.size = {cpus, 0, cpus * 2};
@@ -43,8 +43,8 @@
   return spec;
 }
 
-// Long tasks, so that only a cancellation ends them within a scenario.
-inline wire::JobSpec long_job(const std::string& id, TaskIndex tasks) {
+// Returns a job whose tasks run so long that only a cancellation ends them within a scenario.
+inline wire::JobSpec long_job_spec(const std::string& id, TaskIndex tasks) {
   auto spec = job_spec(id, tasks);
   spec.estimated_run_s = 400;
   return spec;
@@ -63,8 +63,7 @@
   return config;
 }
 
-// A lease of 45 s, heartbeats every 8 s, 75 s for a cancellation: with leaders that last for seconds, a
-// worker is answered once by each of them at most.
+// Uses heartbeats so rare that a worker gets at most one response from each of several short-lived leaders.
 inline ClusterConfig slow_heartbeat_config() {
   auto config = cluster_config();
   config.heartbeat_interval_s = 8;
@@ -79,7 +78,7 @@
   return record;
 }
 
-// What a worker would report.
+// A simulated worker, holding what it reports in its heartbeats.
 struct Worker {
   std::string name;
   std::string zone = "a";
@@ -91,7 +90,8 @@
   std::optional<double> termination_notice_s = {};
   std::vector<wire::ReportedTask> tasks = {};
 
-  wire::Heartbeat heartbeat() {
+  // Returns a heartbeat with the next sequence number.
+  wire::Heartbeat next_heartbeat() {
     wire::Heartbeat out;
     out.machine = MachineId(name);
     out.type = type;
@@ -104,8 +104,9 @@
     out.tasks = tasks;
     return out;
   }
-  void shows(const std::string& job, TaskIndex index, Attempt attempt, wire::TaskState state,
-             wire::ExitCause cause = wire::ExitCause::none) {
+  // Adds the task to the following heartbeats.
+  void report_task(const std::string& job, TaskIndex index, Attempt attempt, wire::TaskState state,
+                   wire::ExitCause cause = wire::ExitCause::none) {
     tasks.push_back({{JobId(job), index}, attempt, state, cause, false});
   }
 };
@@ -116,75 +117,80 @@
 
   explicit ClusterTest(ClusterConfig config = cluster_config())
       : cluster(std::move(config), FencingToken(kToken), 0, 0) {
-    cluster.apply(MachineTypesChanged{{small_type()}}, now);
+    cluster.apply(MachineTypesChanged{{small_machine_type()}}, now);
   }
 
-  void loaded() { cluster.apply(LoadCompleted{}, now); }
+  void complete_loading() { cluster.apply(LoadCompleted{}, now); }
   void submit(const wire::JobSpec& spec) { cluster.apply(JobSubmitted{job_record(spec), Revision(60)}, now); }
 
-  // An earlier leader's job, with its tasks as a page tells them.
-  void inherit(const wire::JobSpec& spec, std::vector<TaskRecord> tasks, bool terminating = false) {
+  // Loads a job of a previous leader, and a task log segment with its tasks.
+  void load_job(const wire::JobSpec& spec, std::vector<TaskRecord> tasks, bool terminating = false) {
     cluster.apply(JobLoaded{job_record(spec), Revision(40), terminating}, now);
-    const auto page = key::segment(FencingToken(kToken - 10), ++inherited_pages);
-    cluster.apply(SegmentLoaded{page, {{spec.id, std::move(tasks)}}}, now);
+    const auto segment = key::segment(FencingToken(kToken - 10), ++loaded_segments);
+    cluster.apply(SegmentLoaded{segment, {{spec.id, std::move(tasks)}}}, now);
   }
 
-  // The worker reports; the answer's orders come back. Saves are carried out in between unless held back.
-  std::vector<wire::Command> exchange(Worker& worker) {
-    heartbeat_only(worker);
-    return answer(worker);
+  // Sends the worker's next heartbeat and returns the commands in the response.
+  std::vector<wire::Command> exchange_heartbeat(Worker& worker) {
+    send_heartbeat(worker);
+    return receive_response(worker);
   }
-  // The report arrives; the answer is held.
-  void heartbeat_only(Worker& worker) {
-    last_fate = cluster.apply_heartbeat(worker.heartbeat(), now);
-    settle();
+  // Delivers the worker's next heartbeat, assigns tasks and applies writes. The response is held.
+  void send_heartbeat(Worker& worker) {
+    last_heartbeat_outcome = cluster.apply_heartbeat(worker.next_heartbeat(), now);
+    assign_and_write();
   }
-  std::vector<wire::Command> answer(Worker& worker) {
+  // Delivers the response to the worker, which learns the leader's token, and returns its commands.
+  std::vector<wire::Command> receive_response(Worker& worker) {
     auto commands = cluster.commands_for(MachineId(worker.name), true, now);
     cluster.response_sent(MachineId(worker.name), now);
     worker.token = std::max(worker.token, kToken);
     return commands;
   }
 
-  void settle() {
+  // Assigns waiting tasks and applies the leader's writes, unless the state service is unavailable. Advances
+  // the time until each write is due.
+  void assign_and_write() {
     cluster.assign_tasks(now);
-    if (!store_answers) return;
-    for (int pages = 0; pages < 100; ++pages) {
+    if (!state_service_available) return;
+    for (int i = 0; i < 100; ++i) {
       const auto due = cluster.next_write_due_in(now);
       if (!due) return;
-      now += *due + 0.001;  // pages keep a distance in time
-      while (auto save = cluster.next_write(now)) {
-        saves.push_back(*save);
-        cluster.apply(WriteApplied{save->number}, now);
+      now += *due + 0.001;  // the leader limits its write rate
+      while (auto write = cluster.next_write(now)) {
+        applied_writes.push_back(*write);
+        cluster.apply(WriteApplied{write->number}, now);
       }
     }
   }
 
-  void pass(double s) {
-    const double end = now + s;
+  // Advances the time by at least `duration_s`, with a tick each second.
+  void advance_time(double duration_s) {
+    const double end = now + duration_s;
     while (now < end) {
       now += 1;
       cluster.apply(Tick{}, now);
-      settle();
+      assign_and_write();
       for (auto& effect : cluster.take_effects()) effects.push_back(std::move(effect));
     }
   }
 
-  // A worker that has reported under our token, waits for its answer and may be given work.
-  Worker ready_worker(const std::string& name, const std::string& zone = "a", bool spot = true,
-                      const std::string& type = "small") {
+  // Returns a worker that has acknowledged the leader's token, awaits a response and can get work.
+  Worker connect_worker(const std::string& name, const std::string& zone = "a", bool spot = true,
+                        const std::string& type = "small") {
     Worker worker{name, zone, spot, type};
-    exchange(worker);
-    heartbeat_only(worker);
+    exchange_heartbeat(worker);
+    send_heartbeat(worker);
     return worker;
   }
 
-  template <class Kind>
-  std::vector<Kind> seen() {
+  // Returns all effects of this type that the leader has emitted since the start of the test.
+  template <class EffectType>
+  std::vector<EffectType> emitted_effects() {
     for (auto& effect : cluster.take_effects()) effects.push_back(std::move(effect));
-    std::vector<Kind> out;
+    std::vector<EffectType> out;
     for (const auto& effect : effects)
-      if (const auto* each = std::get_if<Kind>(&effect)) out.push_back(*each);
+      if (const auto* each = std::get_if<EffectType>(&effect)) out.push_back(*each);
     return out;
   }
 
@@ -195,11 +201,11 @@
 
   Time now = 1;
   LeaderStateMachine cluster;
-  bool store_answers = true;
-  std::uint64_t inherited_pages = 0;
-  std::vector<StateWrite> saves;
+  bool state_service_available = true;
+  std::uint64_t loaded_segments = 0;
+  std::vector<StateWrite> applied_writes;
   std::vector<Effect> effects;
-  HeartbeatOutcome last_fate = HeartbeatOutcome::accepted;
+  HeartbeatOutcome last_heartbeat_outcome = HeartbeatOutcome::accepted;
 };
 
 }  // namespace dockdyke::testing
