--- a/src/core/autoscaler.hpp
+++ b/src/core/autoscaler.hpp
@@ -1,8 +1,4 @@
-// Autoscaling: how many machines there are, between the operators' bounds.
-//
-// Every `kAutoscalerInterval` overwhelmed, underwhelmed and free machines are counted and the fleet is
-// changed, as the CCV report describes ("Auto Scaler"). Capacity for waiting tasks is requested between those
-// runs as well.
+// Scales the fleet out and in, within the operators' bounds on its size.
 #pragma once
 
 #include <cstddef>
@@ -21,40 +17,49 @@
 
 namespace dockdyke::core {
 
+// Runs every `kAutoscalerInterval`: requests machines for waiting tasks, spot replacements and the operators'
+// minimum, and deletes idle machines. Machines for waiting tasks are also requested between those runs.
 class Autoscaler {
  public:
   Autoscaler(ClusterState& state, const SchedulingConstraints& constraints, CapacityPlanner& planner,
              ScaleOutRequests& scale_out, ScaleInRequests& scale_in);
 
-  // Whether the next full run is due; otherwise only `scale_out_for_waiting` is.
+  // Returns whether `kAutoscalerInterval` has passed since the last call of `run`.
   bool run_due(Time now) const;
   void run(Time now);
-  // Requests machines for tasks that have waited long enough. Not only in full runs: every offering that is
-  // refused or filled only partly would cost a whole interval before the next is tried (31 s for the first
-  // fleet of a day, simulated).
-  void scale_out_for_waiting(Time now);
+  // Requests machines for waiting tasks. Called between runs, so that after a refused or partially filled
+  // request the next offering is tried without waiting for a whole interval.
+  void scale_out_for_waiting_tasks(Time now);
   const FleetSummary& summary() const { return summary_; }
 
  private:
-  // Machines that are there or requested.
+  // Returns the number of machines that exist or are requested, without those that are being deleted.
   std::size_t fleet_size() const;
-  // How many more machines the operators' bound allows.
-  std::size_t headroom() const;
-  std::size_t request_needed(std::size_t max_machines, Time now);
-  // Requests spot machines in place of on-demand ones that have work which may run on either.
-  void replace_on_demand(std::size_t max_machines, Time now);
-  void update_on_demand_load();
-  // By type: spot machines that are free or coming.
-  std::map<std::string, double> free_spot_machines(Time now) const;
-  std::optional<InstanceOffering> spot_offering(const wire::MachineType& type, Time now) const;
-  // Counts the fleet into `summary_`; returns the empty machines that accept work.
-  std::vector<const Machine*> count_fleet(Time now);
-  double load_of(const Machine& machine) const;
-  // Keeps the operators' minimum and the buffer of free machines.
-  void fill_buffer(std::size_t requested, Time now);
-  std::optional<InstanceOffering> cheapest_spot_offering(Time now) const;
-  // Returns machines that have been empty for about as long as keeping them costs what booting another would.
-  void return_idle(std::vector<const Machine*> idle, Time now);
+  // Returns how many machines may be requested without exceeding the operators' maximum.
+  std::size_t allowed_additional_machines() const;
+  // Requests the machines that the capacity planner asks for, at most `max_machines`, and returns their
+  // number.
+  std::size_t request_planned_machines(std::size_t max_machines, Time now);
+  // Requests cheaper spot machines to replace on-demand machines whose tasks may all run on spot machines.
+  void request_spot_replacements(std::size_t max_machines, Time now);
+  void update_replaceable_machines();
+  // Returns, by type, the number of spot machines that are idle, booting or requested.
+  std::map<std::string, double> available_spot_machines(Time now) const;
+  // Returns a spot offering of the type that is not in backoff, or std::nullopt if there is none.
+  std::optional<InstanceOffering> first_available_spot_offering(const wire::MachineType& type,
+                                                                Time now) const;
+  // Counts the machines into `summary_` and returns the idle ones that accept work.
+  std::vector<const Machine*> update_summary(Time now);
+  // Returns the allocated fraction of the machine's CPUs or memory, whichever is larger.
+  double utilization_of(const Machine& machine) const;
+  // Requests machines to keep the operators' minimum and number of free machines, unless `requested` machines
+  // have already been requested in this run.
+  void request_minimum_machines(std::size_t requested, Time now);
+  // Returns the cheapest spot offering that is not in backoff, or std::nullopt if there is none.
+  std::optional<InstanceOffering> cheapest_available_spot_offering(Time now) const;
+  // Deletes machines that have been idle for a fraction of their boot time: keeping them longer would cost
+  // more than booting new ones.
+  void scale_in_idle_machines(std::vector<const Machine*> idle, Time now);
 
   ClusterState& state_;
   const SchedulingConstraints& constraints_;
@@ -63,7 +68,8 @@
   ScaleInRequests& scale_in_;
   Time last_run_at_ = 0;
   FleetSummary summary_;
-  std::map<std::string, double> on_demand_load_;  // lasting, in machines, by type
+  // By type: moving average of the number of on-demand machines that spot machines could replace.
+  std::map<std::string, double> replaceable_machines_;
 };
 
 }  // namespace dockdyke::core
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -23,37 +23,37 @@
       scarce_types_(scarce_types),
       gang_reservations_(gang_reservations) {}
 
-// ---- Free capacity ----------------------------------------------------------------------------------------
+// ---- Available capacity -----------------------------------------------------------------------------------
 
-std::vector<bool> CapacityPlanner::types_under_pressure(Time now) {
-  std::vector<bool> under_pressure(state_.types().size());
+std::vector<bool> CapacityPlanner::types_at_slo_risk(Time now) {
+  std::vector<bool> at_slo_risk(state_.types().size());
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
     if (job.waiting_tasks() == 0 || now < job.backoff_until) continue;
     const auto start_s = start_target_s(state_.config(), job.spec.job_class);
     if (!start_s) continue;
-    const double patience_s = std::max(constants::kScaleOutDelay, constants::kStartPressureShare * *start_s);
-    if (now - job.queued_since <= patience_s) continue;
-    for (std::size_t type = 0; type < under_pressure.size(); ++type)
-      under_pressure[type] = under_pressure[type] || job.compatible_with(type);
+    const double max_wait_s = std::max(constants::kScaleOutDelay, constants::kStartPressureShare * *start_s);
+    if (now - job.queued_since <= max_wait_s) continue;
+    for (std::size_t type = 0; type < at_slo_risk.size(); ++type)
+      at_slo_risk[type] = at_slo_risk[type] || job.compatible_with(type);
   }
-  return under_pressure;
+  return at_slo_risk;
 }
 
-wire::Resources CapacityPlanner::freeing_capacity(const Machine& machine, bool under_pressure,
-                                                  Time now) const {
-  wire::Resources freeing;
+wire::Resources CapacityPlanner::soon_free_capacity(const Machine& machine, bool at_slo_risk,
+                                                    Time now) const {
+  wire::Resources soon_free;
   for (const auto& task : machine.assignments) {
-    const bool soon = under_pressure ? nearly_done(*task.job, task.assignment(), now)
-                                     : frees_soon(state_, *task.job, task.assignment(), now);
-    if (soon) freeing += task.job->spec.task_resources;
+    const bool ends_soon = at_slo_risk ? nearly_done(*task.job, task.assignment(), now)
+                                       : frees_soon(state_, *task.job, task.assignment(), now);
+    if (ends_soon) soon_free += task.job->spec.task_resources;
   }
-  return freeing;
+  return soon_free;
 }
 
 namespace {
 
-// Free capacity in steps of `kCapacityStep`.
+// Free capacity as whole multiples of `kCapacityStep`, rounded down.
 struct CapacitySteps {
   long cpus = 0;
   long gpus = 0;
@@ -61,14 +61,14 @@
   auto operator<=>(const CapacitySteps&) const = default;
 };
 
-CapacitySteps steps_of(const wire::Resources& free) {
+CapacitySteps to_steps(const wire::Resources& free) {
   const auto steps = [](double amount) {
     return static_cast<long>(std::floor(amount / constants::kCapacityStep + 1e-6));
   };
   return {steps(free.cpus), steps(free.gpus), steps(free.memory_gb)};
 }
 
-wire::Resources resources_of(const CapacitySteps& steps) {
+wire::Resources to_resources(const CapacitySteps& steps) {
   return wire::Resources{static_cast<double>(steps.cpus), static_cast<double>(steps.gpus),
                          static_cast<double>(steps.memory)} *
          constants::kCapacityStep;
@@ -84,12 +84,12 @@
 
 }  // namespace
 
-std::vector<CapacityPlanner::MachineGroup> CapacityPlanner::group_machines(bool include_freeing, Time now) {
-  const auto under_pressure = types_under_pressure(now);
+std::vector<CapacityPlanner::MachineGroup> CapacityPlanner::group_machines(bool include_soon_free, Time now) {
+  const auto at_slo_risk = types_at_slo_risk(now);
   std::map<GroupKey, std::size_t> counts;
   const auto add = [&](std::size_t type, const std::string& zone, bool spot, const wire::Resources& free,
                        std::size_t machines) {
-    GroupKey key{type, zone, spot, steps_of(free)};
+    GroupKey key{type, zone, spot, to_steps(free)};
     if (key.free.cpus > 0) counts[std::move(key)] += machines;
   };
   for (const auto& [id, machine] : state_.machines()) {
@@ -98,7 +98,7 @@
     wire::Resources free = constraints_.free_capacity(machine);
     if (machine.state == MachineState::up) {
       if (!constraints_.accepts_work(machine, now)) continue;
-      if (include_freeing) free += freeing_capacity(machine, under_pressure[machine.type_number], now);
+      if (include_soon_free) free += soon_free_capacity(machine, at_slo_risk[machine.type_number], now);
     } else if (machine.state != MachineState::booting || constraints_.boots_late(machine, now)) {
       continue;
     }
@@ -112,7 +112,7 @@
   std::vector<MachineGroup> groups;
   groups.reserve(counts.size());
   for (const auto& [key, machines] : counts)
-    groups.push_back({key.type, key.zone, key.spot, resources_of(key.free), machines});
+    groups.push_back({key.type, key.zone, key.spot, to_resources(key.free), machines});
   return groups;
 }
 
@@ -120,168 +120,174 @@
                                                   std::size_t max_machines) const {
   Plan plan;
   plan.groups = std::move(groups);
-  plan.max_machines = max_machines;
+  plan.machine_budget = max_machines;
   for (const auto& [id, machine] : state_.machines()) ++plan.machines_by_zone[machine.zone];
   for (const auto& [id, pending] : scale_out_.pending())
     plan.machines_by_zone[pending.request.zone] += pending.request.count;
   return plan;
 }
 
-// ---- A job's claim ----------------------------------------------------------------------------------------
+// ---- Planning of one job ----------------------------------------------------------------------------------
 
 namespace {
 
-// Leaves the job only this zone.
-void close_other_zones(ZoneCapacity& zones, const std::string& zone) {
+// Sets the capacity of all other zones to 0.
+void restrict_to_zone(ZoneCapacity& zones, const std::string& zone) {
   for (auto& [name, capacity] : *zones)
     if (name != zone) capacity = 0;
 }
 
 }  // namespace
 
-bool CapacityPlanner::may_use(const Claim& claim, const MachineGroup& group) const {
-  return !claim.avoided_types.contains(group.type) &&
-         constraints_.allowed_on(claim.job, group.type, group.zone, group.spot) &&
-         has_zone_capacity(claim.zones, group.zone);
+bool CapacityPlanner::may_use(const JobDemand& demand, const MachineGroup& group) const {
+  return !demand.avoided_types.contains(group.type) &&
+         constraints_.allowed_on(demand.job, group.type, group.zone, group.spot) &&
+         has_zone_capacity(demand.zones, group.zone);
 }
 
-void CapacityPlanner::fill_group(Plan& plan, Claim& claim, std::size_t index) const {
-  const MachineGroup group = plan.groups[index];
-  if (!may_use(claim, group)) return;
-  const auto& spec = claim.job.spec;
+void CapacityPlanner::place_on_group(Plan& plan, JobDemand& demand, std::size_t group_index) const {
+  const MachineGroup group = plan.groups[group_index];
+  if (!may_use(demand, group)) return;
+  const auto& spec = demand.job.spec;
   const std::size_t per_machine = tasks_fitting(spec.task_resources, group.free);
-  std::size_t fits = std::min(claim.tasks, per_machine * group.machines);
-  if (claim.zones) fits = std::min(fits, claim.zones->at(group.zone));
-  if (fits == 0) return;
-  // What is left of machines that get tasks is a group of its own.
+  std::size_t placed = std::min(demand.tasks, per_machine * group.machines);
+  if (demand.zones) placed = std::min(placed, demand.zones->at(group.zone));
+  if (placed == 0) return;
+  // Moves machines that get tasks to a new group with their remaining free capacity.
   const auto split_off = [&](std::size_t machines, std::size_t tasks_each) {
     if (machines == 0) return;
     MachineGroup rest = group;
     rest.free -= spec.task_resources * static_cast<double>(tasks_each);
     rest.machines = machines;
-    plan.groups[index].machines -= machines;
+    plan.groups[group_index].machines -= machines;
     plan.groups.push_back(std::move(rest));
   };
-  split_off(fits / per_machine, per_machine);
-  if (fits % per_machine != 0) split_off(1, fits % per_machine);
-  claim.tasks -= fits;
-  if (claim.zones && spec.spread) claim.zones->at(group.zone) -= fits;
-  if (claim.zones && spec.same_zone) close_other_zones(claim.zones, group.zone);
+  split_off(placed / per_machine, per_machine);
+  if (placed % per_machine != 0) split_off(1, placed % per_machine);
+  demand.tasks -= placed;
+  if (demand.zones && spec.spread) demand.zones->at(group.zone) -= placed;
+  if (demand.zones && spec.same_zone) restrict_to_zone(demand.zones, group.zone);
 }
 
-bool CapacityPlanner::fill_present_machines(Plan& plan, Claim& claim) const {
+bool CapacityPlanner::place_on_available_machines(Plan& plan, JobDemand& demand) const {
   const std::size_t groups = plan.groups.size();
-  bool any_allowed = false;
+  bool any_group_allowed = false;
   for (std::size_t i = 0; i < groups; ++i) {
     const MachineGroup& group = plan.groups[i];
     if (group.machines == 0) continue;
-    any_allowed = any_allowed || constraints_.allowed_on(claim.job, group.type, group.zone, group.spot);
-    if (claim.tasks > 0) fill_group(plan, claim, i);
+    any_group_allowed =
+        any_group_allowed || constraints_.allowed_on(demand.job, group.type, group.zone, group.spot);
+    if (demand.tasks > 0) place_on_group(plan, demand, i);
   }
   std::erase_if(plan.groups, [](const MachineGroup& group) { return group.machines == 0; });
-  return any_allowed;
+  return any_group_allowed;
 }
 
-std::optional<InstanceOffering> CapacityPlanner::select_offering(const Plan& plan, const Claim& claim,
+std::optional<InstanceOffering> CapacityPlanner::select_offering(const Plan& plan, const JobDemand& demand,
                                                                  bool allow_on_demand, Time now) const {
   return selector_.select(
-      {claim.job, claim.tasks, allow_on_demand, claim.avoided_types, claim.zones, plan.machines_by_zone},
+      {demand.job, demand.tasks, allow_on_demand, demand.avoided_types, demand.zones, plan.machines_by_zone},
       now);
 }
 
-std::optional<std::string> CapacityPlanner::zone_for_gang(const Plan& plan, const Claim& claim,
-                                                          bool allow_on_demand, Time now) const {
-  std::map<std::string, std::size_t> fits;
+std::optional<std::string> CapacityPlanner::select_zone_for_gang(const Plan& plan, const JobDemand& demand,
+                                                                 bool allow_on_demand, Time now) const {
+  std::map<std::string, std::size_t> capacity_by_zone;
   for (const auto& group : plan.groups)
-    if (may_use(claim, group))
-      fits[group.zone] += tasks_fitting(claim.job.spec.task_resources, group.free) * group.machines;
-  for (const auto& [zone, tasks] : fits)
-    if (tasks >= claim.tasks) return zone;
-  // None holds the whole gang: where the rest is requested.
-  const auto offering = select_offering(plan, claim, allow_on_demand, now);
+    if (may_use(demand, group))
+      capacity_by_zone[group.zone] +=
+          tasks_fitting(demand.job.spec.task_resources, group.free) * group.machines;
+  for (const auto& [zone, tasks] : capacity_by_zone)
+    if (tasks >= demand.tasks) return zone;
+  // No zone has capacity for the whole gang, so the rest is requested in the zone of the selected offering.
+  const auto offering = select_offering(plan, demand, allow_on_demand, now);
   return offering ? std::optional(offering->zone) : std::nullopt;
 }
 
-void CapacityPlanner::request_rest(Plan& plan, Claim& claim, bool allow_on_demand, Time now) const {
-  while (claim.tasks > 0 && plan.max_machines > 0) {
-    const auto offering = select_offering(plan, claim, allow_on_demand, now);
+void CapacityPlanner::request_machines(Plan& plan, JobDemand& demand, bool allow_on_demand, Time now) const {
+  while (demand.tasks > 0 && plan.machine_budget > 0) {
+    const auto offering = select_offering(plan, demand, allow_on_demand, now);
     if (!offering) return;
     const auto type = state_.type_number(offering->type);
     const auto& size = state_.types()[type].size;
     const std::size_t per_machine =
-        std::max<std::size_t>(1, tasks_fitting(claim.job.spec.task_resources, size));
-    const std::size_t machines = (claim.tasks + per_machine - 1) / per_machine;
-    // As many as it needs, but one by one where its zones matter for the next.
+        std::max<std::size_t>(1, tasks_fitting(demand.job.spec.task_resources, size));
+    const std::size_t machines = (demand.tasks + per_machine - 1) / per_machine;
+    // With zone constraints, each placement may change the offering for the next machine.
     const std::size_t count =
-        claim.zones ? 1 : std::min({plan.max_machines, machines, constants::kMaxMachinesPerScaleOut});
+        demand.zones ? 1 : std::min({plan.machine_budget, machines, constants::kMaxMachinesPerScaleOut});
     plan.groups.push_back({type, offering->zone, offering->spot, size, count});
-    plan.need[*offering] += count;
+    plan.machines_to_request[*offering] += count;
     plan.machines_by_zone[offering->zone] += count;
-    plan.max_machines -= count;
-    const auto before = claim.tasks;
-    fill_group(plan, claim, plan.groups.size() - 1);
-    if (claim.tasks == before) return;
+    plan.machine_budget -= count;
+    const auto tasks_before = demand.tasks;
+    place_on_group(plan, demand, plan.groups.size() - 1);
+    if (demand.tasks == tasks_before) return;
   }
 }
 
-void CapacityPlanner::serve(Plan& plan, const QueuedJob& queued, Claim& claim, Time now) const {
-  const Job& job = claim.job;
+void CapacityPlanner::plan_job(Plan& plan, const QueuedJob& queued, JobDemand& demand, Time now) const {
+  const Job& job = demand.job;
   const bool allow_on_demand = selector_.needs_on_demand(queued, now);
   if (job.is_gang() && job.spec.same_zone) {
-    // In one zone as a whole: parts of it in several would never start.
-    const auto zone = zone_for_gang(plan, claim, allow_on_demand, now);
+    // A gang that must share a zone only starts if all its tasks fit in one, so it is planned for a single
+    // zone.
+    const auto zone = select_zone_for_gang(plan, demand, allow_on_demand, now);
     if (!zone) return;
-    close_other_zones(claim.zones, *zone);
+    restrict_to_zone(demand.zones, *zone);
   }
-  const bool any_allowed = fill_present_machines(plan, claim);
-  // Machines that are about to become free are waited for shortly; a task that no present machine could hold
-  // is not.
-  if (claim.tasks == 0 || (any_allowed && now - job.queued_since < constants::kScaleOutDelay)) return;
-  request_rest(plan, claim, allow_on_demand, now);
+  const bool any_group_allowed = place_on_available_machines(plan, demand);
+  // Waits `kScaleOutDelay` for machines to become free before requesting more, unless the job is allowed on
+  // none of the available ones.
+  if (demand.tasks == 0 || (any_group_allowed && now - job.queued_since < constants::kScaleOutDelay)) return;
+  request_machines(plan, demand, allow_on_demand, now);
 }
 
-// ---- Needs ------------------------------------------------------------------------------------------------
+// ---- Planning of all jobs ---------------------------------------------------------------------------------
 
-CapacityPlanner::Need CapacityPlanner::need_of_expected_gangs(std::size_t max_machines, Time now) {
+CapacityPlanner::MachinesToRequest CapacityPlanner::machines_for_expected_gangs(std::size_t max_machines,
+                                                                                Time now) {
   const auto& expected = gang_reservations_.expected();
   if (expected.empty()) return {};
-  // Capacity that is about to become free is no reserve: at any time, as much is about to be asked for.
+  // Capacity that will soon be free is not counted, as other jobs are likely to need it by then.
   Plan plan = begin_plan(group_machines(false, now), 0);
+  // Places the waiting gangs first, without requesting machines for them.
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
     if (!job.is_gang() || job.waiting_tasks() == 0) continue;
-    Claim claim{job, job.waiting_tasks(), constraints_.zone_capacity(job), {}};
-    serve(plan, queued, claim, now);
+    JobDemand demand{job, job.waiting_tasks(), constraints_.zone_capacity(job), {}};
+    plan_job(plan, queued, demand, now);
   }
-  plan.max_machines = max_machines;
+  plan.machine_budget = max_machines;
   for (const auto& each : expected) {
     Job gang = gang_reservations_.model_job(each.largest);
     QueuedJob queued;
     queued.job = &gang;
     for (std::size_t i = 0; i < each.gangs; ++i) {
-      Claim claim{gang, gang.spec.task_count, constraints_.zone_capacity(gang), {}};
-      serve(plan, queued, claim, now);
+      JobDemand demand{gang, gang.spec.task_count, constraints_.zone_capacity(gang), {}};
+      plan_job(plan, queued, demand, now);
     }
   }
-  return std::move(plan.need);
+  return std::move(plan.machines_to_request);
 }
 
-CapacityPlanner::Need CapacityPlanner::need_of_waiting_jobs(std::size_t max_machines, Time now) {
+CapacityPlanner::MachinesToRequest CapacityPlanner::machines_for_waiting_jobs(std::size_t max_machines,
+                                                                              Time now) {
   Plan plan = begin_plan(group_machines(true, now), max_machines);
   waiting_tasks_ = 0;
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
     if (job.waiting_tasks() == 0 || now < job.backoff_until || waiting_tasks_ >= constants::kMaxDemandTasks)
       continue;
-    const std::size_t headroom = constraints_.quota_headroom(job);
-    if (job.is_gang() && headroom < job.waiting_tasks()) continue;
-    const std::size_t tasks =
-        std::min<std::size_t>({job.waiting_tasks(), headroom, constants::kMaxDemandTasks - waiting_tasks_});
-    Claim claim{job, tasks, constraints_.zone_capacity(job), scarce_types_.avoided_by(queued, now)};
+    const std::size_t quota_headroom = constraints_.quota_headroom(job);
+    if (job.is_gang() && quota_headroom < job.waiting_tasks()) continue;
+    const std::size_t tasks = std::min<std::size_t>(
+        {job.waiting_tasks(), quota_headroom, constants::kMaxDemandTasks - waiting_tasks_});
+    JobDemand demand{job, tasks, constraints_.zone_capacity(job), scarce_types_.types_to_avoid(queued, now)};
     waiting_tasks_ += tasks;
-    serve(plan, queued, claim, now);
+    plan_job(plan, queued, demand, now);
   }
-  return std::move(plan.need);
+  return std::move(plan.machines_to_request);
 }
 
 }  // namespace dockdyke::core
--- a/src/core/capacity_planner.hpp
+++ b/src/core/capacity_planner.hpp
@@ -1,4 +1,4 @@
-// How many machines of which offering the waiting jobs need besides what is free or coming.
+// Planning of the machines to request for waiting jobs and expected gangs.
 #pragma once
 
 #include <cstddef>
@@ -20,69 +20,76 @@
 
 namespace dockdyke::core {
 
+// Plans which machines to request: places the tasks of the jobs on the capacity that is free, booting or
+// already requested, and adds machines for tasks that do not fit there. It assigns no task.
 class CapacityPlanner {
  public:
-  using Need = std::map<InstanceOffering, std::size_t>;  // machines
+  using MachinesToRequest = std::map<InstanceOffering, std::size_t>;  // number of machines by offering
 
   CapacityPlanner(const ClusterState& state, const SchedulingConstraints& constraints, JobQueue& queue,
                   const ScaleOutRequests& scale_out, const OfferingSelector& selector,
                   const ScarceTypes& scarce_types, const GangReservations& gang_reservations);
 
-  // For jobs that wait, at most so many machines.
-  Need need_of_waiting_jobs(std::size_t max_machines, Time now);
-  // For gangs that are expected, at most so many machines.
-  Need need_of_expected_gangs(std::size_t max_machines, Time now);
-  // Tasks that waited when `need_of_waiting_jobs` last ran.
+  // Returns the machines to request for waiting jobs, at most `max_machines`.
+  MachinesToRequest machines_for_waiting_jobs(std::size_t max_machines, Time now);
+  // Returns the machines to request for expected gangs, at most `max_machines`.
+  MachinesToRequest machines_for_expected_gangs(std::size_t max_machines, Time now);
+  // Returns the number of waiting tasks in the last call of `machines_for_waiting_jobs`.
   std::size_t waiting_tasks() const { return waiting_tasks_; }
 
  private:
-  // Machines that are alike in type, zone, kind and free capacity (rounded down), counted together: a fleet
-  // of many hundred machines is worked through in a few dozen steps.
+  // Machines of the same offering with the same free capacity (rounded down). Planning with groups takes far
+  // fewer steps than planning with single machines.
   struct MachineGroup {
-    std::size_t type = 0;
+    std::size_t type = 0;  // type number
     std::string zone;
     bool spot = false;
-    wire::Resources free;
+    wire::Resources free;  // on each machine
     std::size_t machines = 0;
   };
-  // What is free or coming, and what has to be requested besides it, while the waiting jobs are gone through
-  // in order.
+  // A plan under construction, to which the jobs are added in queue order.
   struct Plan {
-    std::vector<MachineGroup> groups;
+    std::vector<MachineGroup> groups;  // capacity that no job of the plan uses yet
     std::map<std::string, std::size_t> machines_by_zone;
-    Need need;
-    std::size_t max_machines = 0;  // that may yet be requested
+    MachinesToRequest machines_to_request;
+    std::size_t machine_budget = 0;  // how many more machines may be requested
   };
-  // What one waiting job asks of the fleet.
-  struct Claim {
+  // The demand of one job for capacity, reduced as its tasks are placed.
+  struct JobDemand {
     const Job& job;
-    std::size_t tasks = 0;  // without capacity
+    std::size_t tasks = 0;  // not yet placed
     ZoneCapacity zones;
-    std::set<std::size_t> avoided_types;
+    std::set<std::size_t> avoided_types;  // type numbers
   };
 
-  // ---- Free capacity ----
-  // Types for which work waits so long that its start objective is in danger.
-  std::vector<bool> types_under_pressure(Time now);
-  // What tasks that end soon will free.
-  wire::Resources freeing_capacity(const Machine& machine, bool under_pressure, Time now) const;
-  // With `include_freeing`, also what tasks that end soon will free.
-  std::vector<MachineGroup> group_machines(bool include_freeing, Time now);
+  // ---- Available capacity ----
+  // Returns, by type number, whether a compatible job has waited so long that its start objective is at risk.
+  std::vector<bool> types_at_slo_risk(Time now);
+  // Returns the capacity of the machine's tasks that are expected to end soon. With `at_slo_risk` only tasks
+  // that are nearly done count.
+  wire::Resources soon_free_capacity(const Machine& machine, bool at_slo_risk, Time now) const;
+  // Groups the machines that are up, booting or requested by their free capacity. With `include_soon_free`,
+  // capacity of tasks that are expected to end soon counts as free.
+  std::vector<MachineGroup> group_machines(bool include_soon_free, Time now);
   Plan begin_plan(std::vector<MachineGroup> groups, std::size_t max_machines) const;
 
-  // ---- A job's claim ----
-  bool may_use(const Claim& claim, const MachineGroup& group) const;
-  // Fills machines of one group with tasks of the job.
-  void fill_group(Plan& plan, Claim& claim, std::size_t group) const;
-  // Returns whether some group is of an offering that the job allows.
-  bool fill_present_machines(Plan& plan, Claim& claim) const;
-  // The zone in which a gang that must share one finds capacity or is to get it.
-  std::optional<std::string> zone_for_gang(const Plan& plan, const Claim& claim, bool allow_on_demand,
-                                           Time now) const;
-  void request_rest(Plan& plan, Claim& claim, bool allow_on_demand, Time now) const;
-  void serve(Plan& plan, const QueuedJob& queued, Claim& claim, Time now) const;
-  std::optional<InstanceOffering> select_offering(const Plan& plan, const Claim& claim, bool allow_on_demand,
-                                                  Time now) const;
+  // ---- Planning of one job ----
+  bool may_use(const JobDemand& demand, const MachineGroup& group) const;
+  // Places as many tasks of the job as fit on the machines of one group.
+  void place_on_group(Plan& plan, JobDemand& demand, std::size_t group_index) const;
+  // Places as many tasks of the job as fit on the machines of the plan. Returns whether the plan has any
+  // machine on which the job is allowed.
+  bool place_on_available_machines(Plan& plan, JobDemand& demand) const;
+  // Returns the zone for a gang whose tasks must share one: a zone in which the whole gang fits, or else the
+  // zone of the offering to request. Returns std::nullopt if there is neither.
+  std::optional<std::string> select_zone_for_gang(const Plan& plan, const JobDemand& demand,
+                                                  bool allow_on_demand, Time now) const;
+  // Adds machines to the plan for the tasks that are not yet placed.
+  void request_machines(Plan& plan, JobDemand& demand, bool allow_on_demand, Time now) const;
+  // Places the job's tasks on available machines and requests machines for the others.
+  void plan_job(Plan& plan, const QueuedJob& queued, JobDemand& demand, Time now) const;
+  std::optional<InstanceOffering> select_offering(const Plan& plan, const JobDemand& demand,
+                                                  bool allow_on_demand, Time now) const;
 
   const ClusterState& state_;
   const SchedulingConstraints& constraints_;
--- a/src/core/job_queue.cpp
+++ b/src/core/job_queue.cpp
@@ -24,7 +24,7 @@
     waiting_cpus += queued.job->waiting_tasks() * queued.job->spec.task_resources.cpus;
   SmallestRequest smallest;
   for (const auto& [id, job] : state.jobs()) smallest.add(job.spec.task_resources);
-  smallest_task_ = smallest.size();
+  smallest_task_ = smallest.resources();
   std::array<double, kTiers> free_cpus{};
   for (const auto& [id, machine] : state.machines()) {
     if (!state.type_of(machine) || !constraints.accepts_work(machine, now)) continue;
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -186,7 +186,7 @@
 }
 
 void LeaderStateMachine::on(const ScaleOutRefused& event, Time now) {
-  scale_out_.refused(event.id, now);
+  scale_out_.on_refused(event.id, now);
 }
 
 void LeaderStateMachine::on(const MachinesDeleted& event, Time now) {
@@ -222,7 +222,7 @@
     scale_in_.request(failure_detector_.machines_to_delete(now));
     autoscaler_.run(now);
   } else {
-    autoscaler_.scale_out_for_waiting(now);
+    autoscaler_.scale_out_for_waiting_tasks(now);
   }
   state_.request_assignment_pass();  // backoffs may have ended
 }
--- a/src/core/machine_health.hpp
+++ b/src/core/machine_health.hpp
@@ -1,4 +1,4 @@
-// Faulty machines and stragglers: what failures and run times of tasks say about the machine they ran on.
+// Detection of faulty machines and stragglers.
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -7,28 +7,31 @@
 
 namespace dockdyke::core {
 
+// Tracks failures and run times of tasks per machine, and drains machines that are faulty or slow.
 class MachineHealth {
  public:
   MachineHealth(ClusterState& state, const SchedulingConstraints& constraints);
 
-  // A task of the job has completed on the machine.
+  // Records that a task of the job has completed on the machine.
   void record_success(Job& job, Machine& machine, Time now);
-  // A task of the job has failed on the machine. A job that fails wherever it runs is retried ever more
-  // rarely.
+  // Records that a task of the job has failed on the machine. A job that fails on several machines is retried
+  // with exponential backoff.
   void record_failure(Job& job, Machine& machine, Time now);
-  // The run time of a first attempt that has completed on the machine.
+  // Records the run time of a task that has completed on the machine in the given attempt.
   void record_run_time(Job& job, Machine& machine, Attempt attempt, double run_s);
 
-  // Drains machines on which tasks of several jobs failed and of none completed.
+  // Drains machines on which tasks of several jobs have failed and none has completed since.
   void drain_faulty_machines(Time now);
-  // Takes work off the machine if its tasks run several times as long as others of their jobs.
+  // Drains the machine, and stops tasks that may restart elsewhere, if its tasks run much longer than other
+  // tasks of their jobs.
   void drain_if_straggler(Machine& machine, Time now);
 
  private:
-  // Marks that the job failed on these machines, or that it did not.
-  void blame_machines(const Job& job, Time now);
-  void clear_blame(const Job& job);
-  std::uint32_t straggler_signs(const Machine& machine, Time now) const;
+  // Adds the job to `failed_jobs` of every machine on which it has failed, or removes it from there.
+  void add_to_failed_jobs(const Job& job, Time now);
+  void remove_from_failed_jobs(const Job& job);
+  // Returns the straggler signs of the machine's completed and running tasks.
+  std::uint32_t count_straggler_signs(const Machine& machine, Time now) const;
 
   ClusterState& state_;
   const SchedulingConstraints& constraints_;
--- a/src/core/machine_inventory.cpp
+++ b/src/core/machine_inventory.cpp
@@ -43,14 +43,14 @@
 }
 
 void MachineInventory::apply(const ScaleOutGranted& event, Time now) {
-  const auto pending = scale_out_.granted(event.id, event.machines.size(), now);
+  const auto pending = scale_out_.on_granted(event.id, event.machines.size(), now);
   if (!pending) return;
   const auto& request = pending->request;
   for (const auto& id : event.machines) {
     if (state_.recently_deleted(id)) continue;
     Machine& machine = state_.find_or_add_machine(id, now);
     state_.set_offering(machine, request.type, request.zone, request.spot);
-    machine.rented_at = std::min(machine.rented_at, pending->since);
+    machine.rented_at = std::min(machine.rented_at, pending->requested_at);
   }
 }
 
--- a/src/core/offering.hpp
+++ b/src/core/offering.hpp
@@ -1,4 +1,4 @@
-// What the cloud offers and what it was asked for.
+// Instance offerings of the cloud and the state of scale-out requests for them.
 #pragma once
 
 #include <string>
@@ -20,16 +20,16 @@
   return {request.type, request.zone, request.spot};
 }
 
-// An offering that was refused for lack of capacity is not asked for again before `until`.
+// Exponential backoff of an offering for which the cloud lacked capacity.
 struct OfferingBackoff {
-  Time until = 0;
+  Time until = 0;  // the offering is not requested before
   double delay_s = 0;
 };
 
-// A request that the cloud has not answered yet.
+// A scale-out request to which the cloud has not responded yet.
 struct PendingScaleOut {
   wire::ScaleOutRequest request;
-  Time since = 0;
+  Time requested_at = 0;
 };
 
 }  // namespace dockdyke::core
--- a/src/core/scale_in_requests.cpp
+++ b/src/core/scale_in_requests.cpp
@@ -11,14 +11,14 @@
     : state_(state), effects_(effects) {}
 
 void ScaleInRequests::request(const std::vector<MachineId>& machines) {
-  constexpr std::size_t kAroundNames = 32;
-  constexpr std::size_t kAroundName = 3;
+  constexpr std::size_t kListOverheadBytes = 32;
+  constexpr std::size_t kNameOverheadBytes = 3;
   for (std::size_t next = 0; next < machines.size();) {
     const std::string number = std::to_string(state_.token().value) + "-" + std::to_string(next_number_++);
     RequestScaleIn effect{key::kScaleInPrefix + number, {}, false};
-    std::size_t bytes = kAroundNames;
+    std::size_t bytes = kListOverheadBytes;
     while (next < machines.size() && effect.machines.size() < constants::kMaxMachinesPerDeletion) {
-      bytes += machines[next].value.size() + kAroundName;
+      bytes += machines[next].value.size() + kNameOverheadBytes;
       if (bytes > state_.config().max_value_bytes && !effect.machines.empty()) break;
       state_.find_machine(machines[next])->scale_in_requested = true;
       effect.machines.push_back(machines[next++]);
--- a/src/core/scale_in_requests.hpp
+++ b/src/core/scale_in_requests.hpp
@@ -1,4 +1,4 @@
-// Requests to return machines.
+// Requests to delete machines.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,15 @@
 
 namespace dockdyke::core {
 
+// Creates scale-in requests and repeats those of a previous leader.
 class ScaleInRequests {
  public:
   ScaleInRequests(ClusterState& state, EffectQueue& effects);
 
-  // Returns the machines, in as many requests as one deletion and one stored value take.
+  // Requests the deletion of the machines, split into several requests where one would exceed the maximum
+  // number of machines per deletion or the maximum size of a stored value.
   void request(const std::vector<MachineId>& machines);
-  // Recorded by an earlier leader under `key` and perhaps never carried out.
+  // Repeats a request that a previous leader stored under `key` and may not have carried out.
   void adopt(const std::string& key, const std::vector<MachineId>& machines, Time now);
 
  private:
--- a/src/core/scale_out_requests.cpp
+++ b/src/core/scale_out_requests.cpp
@@ -13,7 +13,7 @@
 
 void ScaleOutRequests::request(const InstanceOffering& offering, std::size_t count, Time now) {
   wire::ScaleOutRequest request;
-  // No other leadership has this token, so the name was never used before and never will be.
+  // A fencing token belongs to a single leadership term, so the id is never reused.
   request.id = ScaleOutId("r-" + std::to_string(token_.value) + "-" + std::to_string(next_number_++));
   request.type = offering.type;
   request.zone = offering.zone;
@@ -28,8 +28,8 @@
   effects_.push(RequestScaleOut{request, true});
 }
 
-std::optional<PendingScaleOut> ScaleOutRequests::granted(const ScaleOutId& id, std::size_t machines,
-                                                         Time now) {
+std::optional<PendingScaleOut> ScaleOutRequests::on_granted(const ScaleOutId& id, std::size_t machines,
+                                                            Time now) {
   auto found = pending_.find(id);
   if (found == pending_.end()) return std::nullopt;
   PendingScaleOut pending = std::move(found->second);
@@ -43,7 +43,7 @@
   return pending;
 }
 
-void ScaleOutRequests::refused(const ScaleOutId& id, Time now) {
+void ScaleOutRequests::on_refused(const ScaleOutId& id, Time now) {
   auto found = pending_.find(id);
   if (found == pending_.end()) return;
   OfferingBackoff& backoff = backoffs_[offering_of(found->second.request)];
--- a/src/core/scale_out_requests.hpp
+++ b/src/core/scale_out_requests.hpp
@@ -1,4 +1,4 @@
-// Requests for more machines that the cloud has not answered, and offerings that it refused lately.
+// Requests for additional machines.
 #pragma once
 
 #include <cstddef>
@@ -13,28 +13,30 @@
 
 namespace dockdyke::core {
 
+// Tracks scale-out requests until the cloud responds, and the backoff of offerings without capacity.
 class ScaleOutRequests {
  public:
   using Pending = std::map<ScaleOutId, PendingScaleOut>;
 
   ScaleOutRequests(FencingToken token, EffectQueue& effects);
 
-  // Asks for machines, at most `kMaxMachinesPerScaleOut`.
+  // Requests `count` machines, at most `kMaxMachinesPerScaleOut`.
   void request(const InstanceOffering& offering, std::size_t count, Time now);
-  // Recorded by an earlier leader and perhaps never answered: asked again under the same name, which rents
-  // nothing twice (PROTOCOL, "POST /machines").
+  // Repeats a request that a previous leader stored and to which the cloud may not have responded. The cloud
+  // executes a request id only once.
   void adopt(const wire::ScaleOutRequest& request, Time now);
 
-  // The cloud granted some machines. Returns the request; nothing where it is unknown. An offering that was
-  // filled only partly is empty for now.
-  std::optional<PendingScaleOut> granted(const ScaleOutId& id, std::size_t machines, Time now);
-  // The cloud refused the request for lack of capacity; the backoff doubles from one refusal to the next.
-  void refused(const ScaleOutId& id, Time now);
+  // Ends a request for which the cloud created `machines` machines, and returns it, or std::nullopt if it is
+  // unknown. Fewer machines than requested put the offering into backoff.
+  std::optional<PendingScaleOut> on_granted(const ScaleOutId& id, std::size_t machines, Time now);
+  // Ends a request that the cloud refused for lack of capacity. Each consecutive refusal doubles the backoff
+  // of the offering, up to a maximum.
+  void on_refused(const ScaleOutId& id, Time now);
 
-  // The offering was refused lately and is not to be asked for.
+  // Returns whether the offering must not be requested yet, because the cloud lacked capacity for it.
   bool in_backoff(const InstanceOffering& offering, Time now) const;
   const Pending& pending() const { return pending_; }
-  // Machines asked for in all pending requests.
+  // Returns the number of machines in all pending requests.
   std::size_t pending_machines() const;
 
  private:
--- a/src/core/scarce_types.cpp
+++ b/src/core/scarce_types.cpp
@@ -13,8 +13,8 @@
 
 void ScarceTypes::update(Time now) {
   const std::set<std::size_t> no_avoided_types;
-  const ZoneCapacity any_zone;
-  const std::map<std::string, std::size_t> any_machines;
+  const ZoneCapacity unrestricted_zones;
+  const std::map<std::string, std::size_t> no_machines_by_zone;
   scarce_.clear();
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
@@ -23,18 +23,22 @@
     if (std::count(types.begin(), types.end(), true) != 1) continue;
     const auto type = static_cast<std::size_t>(std::find(types.begin(), types.end(), true) - types.begin());
     if (scarce_.contains(type)) continue;
-    // Where another machine can be rented there is no need to be careful with those that are there.
-    const OfferingRequest request{
-        job, 1, selector_.needs_on_demand(queued, now), no_avoided_types, any_zone, any_machines};
+    // The type is not scarce while more machines of it can be requested.
+    const OfferingRequest request{job,
+                                  1,
+                                  selector_.needs_on_demand(queued, now),
+                                  no_avoided_types,
+                                  unrestricted_zones,
+                                  no_machines_by_zone};
     if (!selector_.select(request, now)) scarce_.insert(type);
   }
 }
 
-std::set<std::size_t> ScarceTypes::avoided_by(const QueuedJob& queued, Time now) const {
+std::set<std::size_t> ScarceTypes::types_to_avoid(const QueuedJob& queued, Time now) const {
   if (scarce_.empty()) return {};
   const Job& job = *queued.job;
   std::set<std::size_t> avoided;
-  double boot_s = 0;  // the shortest of the other types
+  double boot_s = 0;  // the shortest boot time of the types that are not scarce
   const auto& types = state_.types();
   for (std::size_t i = 0; i < types.size(); ++i) {
     if (!job.compatible_with(i)) continue;
--- a/src/core/scarce_types.hpp
+++ b/src/core/scarce_types.hpp
@@ -1,6 +1,4 @@
-// Machine types that some waiting job cannot do without while none can be rented. Jobs with another choice
-// keep off them: small tasks strewn over the machines that large ones need keep these out for as long as
-// any runs.
+// Machine types to be kept free for jobs that can run on no other type.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +11,23 @@
 
 namespace dockdyke::core {
 
+// Tracks scarce machine types. A type is scarce if it is the only compatible type of some waiting job and has
+// no offering that can be requested now. Jobs that are compatible with other types avoid scarce ones, as
+// their small tasks would occupy machines that large tasks need as a whole.
 class ScarceTypes {
  public:
   ScarceTypes(const ClusterState& state, JobQueue& queue, const OfferingSelector& selector);
 
   void update(Time now);
-  // Numbers of the types that this job keeps off. Empty where it has no other choice, or no time to wait
-  // for another type to boot.
-  std::set<std::size_t> avoided_by(const QueuedJob& queued, Time now) const;
+  // Returns the numbers of the types that this job should avoid. Empty if the job is compatible with scarce
+  // types only, or if its objective leaves no time to boot a machine of another type.
+  std::set<std::size_t> types_to_avoid(const QueuedJob& queued, Time now) const;
 
  private:
   const ClusterState& state_;
   JobQueue& queue_;
   const OfferingSelector& selector_;
-  std::set<std::size_t> scarce_;
+  std::set<std::size_t> scarce_;  // type numbers
 };
 
 }  // namespace dockdyke::core
--- a/src/core/smallest_request.hpp
+++ b/src/core/smallest_request.hpp
@@ -1,4 +1,4 @@
-// The smallest amounts that any of several tasks needs.
+// Minimum resource request over several tasks.
 #pragma once
 
 #include <algorithm>
@@ -8,16 +8,17 @@
 
 namespace dockdyke::core {
 
-// Larger than any machine until a task is added.
+// Computes the minimum of the tasks' CPUs and, separately, of their memory. GPUs are ignored (always 0).
+// Without any task the result fits on no machine.
 class SmallestRequest {
  public:
   void add(const wire::Resources& task) {
-    least_ = {std::min(least_.cpus, task.cpus), 0, std::min(least_.memory_gb, task.memory_gb)};
+    minimum_ = {std::min(minimum_.cpus, task.cpus), 0, std::min(minimum_.memory_gb, task.memory_gb)};
   }
-  const wire::Resources& size() const { return least_; }
+  const wire::Resources& resources() const { return minimum_; }
 
  private:
-  wire::Resources least_{std::numeric_limits<double>::max(), 0, std::numeric_limits<double>::max()};
+  wire::Resources minimum_{std::numeric_limits<double>::max(), 0, std::numeric_limits<double>::max()};
 };
 
 }  // namespace dockdyke::core
--- a/src/core/task_placer.cpp
+++ b/src/core/task_placer.cpp
@@ -42,7 +42,7 @@
   SmallestRequest smallest;
   for (const auto& queued : queue) smallest.add(queued.job->spec.task_resources);
   Pass pass;
-  pass.smallest_task = smallest.size();
+  pass.smallest_task = smallest.resources();
   pass.largest_free.resize(state_.types().size());
   // Once for all jobs: looked at for each of them again, full machines took most of a large fleet's processor
   // time.
@@ -94,7 +94,7 @@
                                                                bool any_image, Time now) {
   const Job& job = *queued.job;
   const auto& image = job.spec.image;
-  const auto avoided = scarce_types_.avoided_by(queued, now);
+  const auto avoided = scarce_types_.types_to_avoid(queued, now);
   const double largest_cpus = state_.largest_cpus();
   // Within a round all machines send a heartbeat, and the better ones among them may suffice. Strewn over
   // whatever came first, the work of a quiet hour kept the whole fleet up.
--- a/tests/core/machine_health_test.cpp
+++ b/tests/core/machine_health_test.cpp
@@ -10,26 +10,26 @@
 
 class MachineHealthTest : public ::testing::Test {
  protected:
-  Machine& machine(const std::string& id) {
+  Machine& add_machine(const std::string& id) {
     Machine& added = state.find_or_add_machine(MachineId(id), now);
     added.state = MachineState::up;
     return added;
   }
-  Job& job(const std::string& id, TaskIndex tasks = 4) {
+  Job& add_job(const std::string& id, TaskIndex tasks = 4) {
     return state.add_job(job_spec(id, tasks), Revision(1), now, now);
   }
-  // Three tasks of the job have completed elsewhere within this time.
-  void typical_run(Job& of, double run_s) {
-    of.next_unattempted = 4;
-    for (int i = 0; i < 3; ++i) health.record_run_time(of, machine("n-elsewhere"), 1, run_s);
+  // Records that three tasks of the job have completed in this time on another machine.
+  void record_mean_run_time(Job& job, double run_s) {
+    job.next_unattempted = 4;
+    for (int i = 0; i < 3; ++i) health.record_run_time(job, add_machine("n-elsewhere"), 1, run_s);
   }
-  TaskAssignment& running(Job& of, Machine& on, Attempt attempt, double ran_s) {
+  TaskAssignment& add_running_task(Job& job, Machine& machine, Attempt attempt, double ran_s) {
     TaskAssignment assignment;
-    assignment.machine = &on;
+    assignment.machine = &machine;
     assignment.attempt = attempt;
     assignment.running_since = now - ran_s;
-    state.begin_assignment(of, 3, assignment);
-    return of.assignments.at(3);
+    state.begin_assignment(job, 3, assignment);
+    return job.assignments.at(3);
   }
 
   Time now = 1000;
@@ -38,22 +38,22 @@
   MachineHealth health{state, constraints};
 };
 
-TEST_F(MachineHealthTest, AMachineOnWhichTwoJobsFailIsDrainedAfterADelay) {
-  Machine& faulty = machine("n-1");
-  health.record_failure(job("job-1"), faulty, now);
+TEST_F(MachineHealthTest, MachineFailingTwoJobsIsDrainedAfterDelay) {
+  Machine& faulty = add_machine("n-1");
+  health.record_failure(add_job("job-1"), faulty, now);
   health.drain_faulty_machines(now + 100);
-  EXPECT_FALSE(faulty.draining) << "one job may be broken itself";
-  health.record_failure(job("job-2"), faulty, now);
+  EXPECT_FALSE(faulty.draining) << "a single job may be at fault itself";
+  health.record_failure(add_job("job-2"), faulty, now);
   health.drain_faulty_machines(now);
-  EXPECT_FALSE(faulty.draining) << "the jobs have time to fail elsewhere as well";
+  EXPECT_FALSE(faulty.draining) << "the delay lets the jobs fail on other machines as well";
   health.drain_faulty_machines(now + constants::kQuarantineDelay);
   EXPECT_TRUE(faulty.draining);
 }
 
-TEST_F(MachineHealthTest, JobsThatFailOnSeveralMachinesSpeakAgainstThemselves) {
-  Machine& one = machine("n-1");
-  Machine& two = machine("n-2");
-  for (Job* each : {&job("job-1"), &job("job-2")}) {
+TEST_F(MachineHealthTest, JobsFailingOnSeveralMachinesDoNotDrainThem) {
+  Machine& one = add_machine("n-1");
+  Machine& two = add_machine("n-2");
+  for (Job* each : {&add_job("job-1"), &add_job("job-2")}) {
     health.record_failure(*each, one, now);
     health.record_failure(*each, two, now);
   }
@@ -62,40 +62,40 @@
   EXPECT_FALSE(two.draining);
 }
 
-TEST_F(MachineHealthTest, ASuccessElsewhereBlamesTheMachinesOnWhichTheJobFailed) {
-  Machine& one = machine("n-1");
-  Machine& two = machine("n-2");
-  Job& broken_twice = job("job-1");
-  health.record_failure(broken_twice, one, now);
-  health.record_failure(broken_twice, two, now);
-  health.record_success(broken_twice, machine("n-3"), now);
+TEST_F(MachineHealthTest, SuccessElsewhereCountsFailuresAgainstMachines) {
+  Machine& one = add_machine("n-1");
+  Machine& two = add_machine("n-2");
+  Job& job = add_job("job-1");
+  health.record_failure(job, one, now);
+  health.record_failure(job, two, now);
+  health.record_success(job, add_machine("n-3"), now);
   EXPECT_EQ(one.failed_jobs.size(), 1u);
   EXPECT_EQ(two.failed_jobs.size(), 1u);
-  EXPECT_EQ(broken_twice.failures, 0u);
+  EXPECT_EQ(job.failures, 0u);
 }
 
-TEST_F(MachineHealthTest, AJobThatFailsEverywhereIsRetriedEverMoreRarely) {
-  Job& broken = job("job-1");
-  double last_s = 0;
+TEST_F(MachineHealthTest, FailuresOnManyMachinesIncreaseJobBackoff) {
+  Job& job = add_job("job-1");
+  double previous_s = 0;
   for (int i = 1; i <= 8; ++i) {
-    health.record_failure(broken, machine("n-" + std::to_string(i)), now);
-    const double backoff_s = broken.backoff_until - now;
+    health.record_failure(job, add_machine("n-" + std::to_string(i)), now);
+    const double backoff_s = job.backoff_until - now;
     if (i < static_cast<int>(constants::kSuspectJobMachines)) {
       EXPECT_LE(backoff_s, 0);
       continue;
     }
-    EXPECT_GE(backoff_s, last_s);
+    EXPECT_GE(backoff_s, previous_s);
     EXPECT_LE(backoff_s, constants::kErrorBackoffMax);
-    last_s = backoff_s;
+    previous_s = backoff_s;
   }
-  EXPECT_EQ(last_s, constants::kErrorBackoffMax);
+  EXPECT_EQ(previous_s, constants::kErrorBackoffMax);
 }
 
-TEST_F(MachineHealthTest, AStragglerIsDrainedAndItsFirstAttemptsAreStopped) {
-  Machine& slow = machine("n-1");
-  Job& waiting = job("job-1");
-  typical_run(waiting, 10);
-  TaskAssignment& assignment = running(waiting, slow, 1, 10 * constants::kCertainStragglerFactor - 1);
+TEST_F(MachineHealthTest, StragglerIsDrainedAndItsFirstAttemptStopped) {
+  Machine& slow = add_machine("n-1");
+  Job& job = add_job("job-1");
+  record_mean_run_time(job, 10);
+  TaskAssignment& assignment = add_running_task(job, slow, 1, 10 * constants::kCertainStragglerFactor - 1);
   health.drain_if_straggler(slow, now);
   EXPECT_FALSE(slow.draining) << "one sign is not enough";
   slow.straggler_signs = 1;
@@ -104,11 +104,11 @@
   EXPECT_TRUE(assignment.stopping);
 }
 
-TEST_F(MachineHealthTest, ALaterAttemptThatTakesLongSaysNothingAboutItsMachine) {
-  Machine& healthy = machine("n-1");
-  Job& waiting = job("job-1");
-  typical_run(waiting, 10);
-  running(waiting, healthy, 2, 100);
+TEST_F(MachineHealthTest, LongLaterAttemptDoesNotDrainMachine) {
+  Machine& healthy = add_machine("n-1");
+  Job& job = add_job("job-1");
+  record_mean_run_time(job, 10);
+  add_running_task(job, healthy, 2, 100);
   health.drain_if_straggler(healthy, now);
   EXPECT_FALSE(healthy.draining);
 }
--- a/tests/core/scale_requests_test.cpp
+++ b/tests/core/scale_requests_test.cpp
@@ -1,4 +1,4 @@
-// Requests for more machines and for the return of machines.
+// Scale-out and scale-in requests.
 #include <gtest/gtest.h>
 
 #include "cluster_fixture.hpp"
@@ -11,7 +11,7 @@
 namespace {
 
 template <class Kind>
-std::vector<Kind> taken(EffectQueue& effects) {
+std::vector<Kind> take_effects(EffectQueue& effects) {
   std::vector<Kind> out;
   for (auto& effect : effects.take())
     if (auto* each = std::get_if<Kind>(&effect)) out.push_back(std::move(*each));
@@ -24,7 +24,7 @@
  protected:
   ScaleOutId request(std::size_t count) {
     scale_out.request(offering, count, now);
-    return taken<RequestScaleOut>(effects).at(0).request.id;
+    return take_effects<RequestScaleOut>(effects).at(0).request.id;
   }
 
   Time now = 5;
@@ -33,17 +33,17 @@
   ScaleOutRequests scale_out{FencingToken(7), effects};
 };
 
-TEST_F(ScaleOutRequestsTest, NamesHoldTheTokenAndAreNeverReused) {
+TEST_F(ScaleOutRequestsTest, RequestIdsContainTokenAndAreNeverReused) {
   EXPECT_EQ(request(1), ScaleOutId("r-7-1"));
   EXPECT_EQ(request(1), ScaleOutId("r-7-2"));
-  scale_out.refused(ScaleOutId("r-7-2"), now);
+  scale_out.on_refused(ScaleOutId("r-7-2"), now);
   EXPECT_EQ(request(1), ScaleOutId("r-7-3"));
 }
 
-TEST_F(ScaleOutRequestsTest, RefusalsBackOffDoublingUpToABound) {
+TEST_F(ScaleOutRequestsTest, RefusalsDoubleOfferingBackoffUpToMaximum) {
   double expected_s = constants::kOfferingBackoffInitial;
   for (int i = 0; i < 6; ++i) {
-    scale_out.refused(request(1), now);
+    scale_out.on_refused(request(1), now);
     EXPECT_TRUE(scale_out.in_backoff(offering, now + expected_s - 0.1)) << "refusal " << i;
     EXPECT_FALSE(scale_out.in_backoff(offering, now + expected_s)) << "refusal " << i;
     expected_s = std::min(constants::kOfferingBackoffMax, 2 * expected_s);
@@ -51,25 +51,25 @@
   EXPECT_EQ(scale_out.pending_machines(), 0u);
 }
 
-TEST_F(ScaleOutRequestsTest, AnOfferingThatWasFilledOnlyPartlyBacksOffAndAFilledOneDoesNot) {
-  ASSERT_TRUE(scale_out.granted(request(4), 3, now));
+TEST_F(ScaleOutRequestsTest, PartialGrantBacksOffOfferingAndFullGrantDoesNot) {
+  ASSERT_TRUE(scale_out.on_granted(request(4), 3, now));
   EXPECT_TRUE(scale_out.in_backoff(offering, now));
-  ASSERT_TRUE(scale_out.granted(request(4), 4, now));
+  ASSERT_TRUE(scale_out.on_granted(request(4), 4, now));
   EXPECT_FALSE(scale_out.in_backoff(offering, now));
-  EXPECT_FALSE(scale_out.granted(ScaleOutId("r-7-1"), 4, now)) << "answered already";
+  EXPECT_FALSE(scale_out.on_granted(ScaleOutId("r-7-1"), 4, now)) << "request already completed";
 }
 
-TEST_F(ScaleOutRequestsTest, ARequestOfAnEarlierLeaderIsRepeatedUnderItsName) {
-  const wire::ScaleOutRequest earlier{ScaleOutId("r-3-9"), "small", "b", false, 6};
-  scale_out.adopt(earlier, now);
-  const auto repeated = taken<RequestScaleOut>(effects);
+TEST_F(ScaleOutRequestsTest, AdoptedRequestIsRepeatedUnderItsId) {
+  const wire::ScaleOutRequest adopted{ScaleOutId("r-3-9"), "small", "b", false, 6};
+  scale_out.adopt(adopted, now);
+  const auto repeated = take_effects<RequestScaleOut>(effects);
   ASSERT_EQ(repeated.size(), 1u);
-  EXPECT_EQ(repeated[0].request.id, earlier.id);
+  EXPECT_EQ(repeated[0].request.id, adopted.id);
   EXPECT_TRUE(repeated[0].recorded);
   EXPECT_EQ(scale_out.pending_machines(), 6u);
 }
 
-TEST(ScaleInRequests, AreSplitByTheLimitOfADeletionAndBytesOfAValue) {
+TEST(ScaleInRequestsTest, RequestIsSplitByMaximumValueSize) {
   auto config = cluster_config();
   config.max_value_bytes = 64;
   ClusterState state(config, FencingToken(7));
@@ -81,14 +81,14 @@
   scale_in.request(machines);
   std::vector<MachineId> requested;
   std::set<std::string> keys;
-  for (const auto& each : taken<RequestScaleIn>(effects)) {
+  for (const auto& each : take_effects<RequestScaleIn>(effects)) {
     EXPECT_LE(wire::machine_names(each.machines).dump().size(), config.max_value_bytes);
     requested.insert(requested.end(), each.machines.begin(), each.machines.end());
     keys.insert(each.key);
     EXPECT_FALSE(each.recorded);
   }
   EXPECT_EQ(requested, machines);
-  EXPECT_GT(keys.size(), 1u) << "each under a key of its own";
+  EXPECT_GT(keys.size(), 1u) << "each request has its own key";
   for (const auto& id : machines) EXPECT_TRUE(state.find_machine(id)->scale_in_requested);
 }
 
