--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -28,7 +28,7 @@
       jobs_(jobs) {}
 
 net::Task<HttpResponse> CancellationHandler::cancel(JobId id) {
-  const auto deadline = loop_.now() + net::seconds(constants::kSubmissionTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kSubmissionTimeoutSeconds);
   if (state_.unreachable() && !terminal_jobs_.contains(id)) co_return service_unavailable();
   for (int attempt = 0; attempt < constants::kMaxTransactionAttempts; ++attempt) {
     const JobLookup job = co_await jobs_.read(id, deadline);
--- a/src/app/cancellation_log.cpp
+++ b/src/app/cancellation_log.cpp
@@ -14,7 +14,7 @@
 }
 
 bool CancellationLog::take_line() {
-  if (lines_ >= constants::kMaxCancellationLines) {
+  if (lines_ >= constants::kMaxCancellationLogLines) {
     ++suppressed_lines_;
     return false;
   }
--- a/src/app/cancellation_log.hpp
+++ b/src/app/cancellation_log.hpp
@@ -9,8 +9,8 @@
 
 namespace dockdyke::app {
 
-// Logs at most constants::kMaxCancellationLines between two summaries. Jobs at risk are always logged: there
-// is one line a job at the most.
+// Logs at most constants::kMaxCancellationLogLines between two summaries. Jobs at risk are always logged:
+// there is one line a job at the most.
 class CancellationLog {
  public:
   explicit CancellationLog(FencingToken token) : token_(token) {}
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -86,7 +86,7 @@
 }
 
 std::size_t Controller::max_held_responses() const {
-  return static_cast<std::size_t>(constants::kHeldResponsesShare *
+  return static_cast<std::size_t>(constants::kHeldResponseConnectionFraction *
                                   static_cast<double>(max_public_connections()));
 }
 
@@ -125,7 +125,7 @@
 
 net::Task<void> Controller::log_user_requests() {
   for (;;) {
-    co_await loop_.sleep(net::seconds(constants::kUserLogInterval));
+    co_await loop_.sleep(net::seconds(constants::kUserLogIntervalSeconds));
     const auto& latencies = submissions_.latencies();
     spdlog::info("event=user_requests submissions={} p50_s={:.3f} p95_s={:.3f} connections={}",
                  latencies.count(), latencies.quantile(0.5), latencies.quantile(0.95),
--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -56,7 +56,7 @@
       context_.events().push(core::ScaleOutRefused{request.id});
     } else {
       // Repeated under the same id, which rents nothing twice, until the cloud decides.
-      co_await context_.loop().sleep(net::seconds(constants::kCloudRetryInterval));
+      co_await context_.loop().sleep(net::seconds(constants::kCloudRetryIntervalSeconds));
     }
   }
   if (decided) deleter_.delete_later({key});
@@ -78,7 +78,7 @@
                  effect.machines.empty() ? "" : effect.machines.front().value, recorded_s,
                  context_.now() - requested_at, net::to_string(outcome));
     deleted = outcome == cloud::Outcome::ok;
-    if (!deleted) co_await context_.loop().sleep(net::seconds(constants::kCloudRetryInterval));
+    if (!deleted) co_await context_.loop().sleep(net::seconds(constants::kCloudRetryIntervalSeconds));
   }
   if (!deleted) co_return;
   context_.events().push(core::MachinesDeleted{effect.key, effect.machines});
@@ -97,11 +97,11 @@
   while (context_.alive() && loop.now() < deadline) {
     net::CallResult result =
         co_await context_.transport().call(*address, "POST", std::string(wire::path::kDirectCommands), body,
-                                           net::seconds(constants::kDirectCommandTimeout));
+                                           net::seconds(constants::kDirectCommandTimeoutSeconds));
     spdlog::info("event=stop_commands_sent machine={} status={}", effect.machine.value,
                  result.response ? result.response->status : 0);
     if (result.response) co_return;
-    co_await loop.sleep(net::seconds(constants::kDirectCommandRetryInterval));
+    co_await loop.sleep(net::seconds(constants::kDirectCommandRetryIntervalSeconds));
   }
 }
 
--- a/src/app/heartbeat_counter.hpp
+++ b/src/app/heartbeat_counter.hpp
@@ -10,7 +10,7 @@
 
 namespace dockdyke::app {
 
-// A ring of one-second slots over constants::kHeartbeatCountWindow seconds.
+// A ring of one-second slots over constants::kHeartbeatCountWindowSeconds seconds.
 class HeartbeatCounter {
  public:
   void record(net::TimePoint now) {
@@ -39,7 +39,7 @@
     return static_cast<std::size_t>(second(now)) % slots_.size();
   }
 
-  std::array<Slot, constants::kHeartbeatCountWindow> slots_{};
+  std::array<Slot, constants::kHeartbeatCountWindowSeconds> slots_{};
 };
 
 }  // namespace dockdyke::app
--- a/src/app/heartbeat_handler.cpp
+++ b/src/app/heartbeat_handler.cpp
@@ -66,7 +66,8 @@
 }
 
 double HeartbeatHandler::apply_timeout_s() const {
-  return state_machine_.loaded() ? constants::kHeartbeatApplyTimeout : constants::kHeartbeatLoadTimeout;
+  return state_machine_.loaded() ? constants::kHeartbeatApplyTimeoutSeconds
+                                 : constants::kHeartbeatLoadTimeoutSeconds;
 }
 
 void HeartbeatHandler::apply_queued(core::Time now) {
@@ -90,12 +91,12 @@
   HeartbeatSilence silence;
   silence.any_heartbeat_received = last_received_at_.has_value();
   silence.duration_s = std::chrono::duration<double>(context_.loop().now() - since).count();
-  silence.threshold_s = constants::kHeartbeatSilenceMin;
+  silence.threshold_s = constants::kMinHeartbeatGapSeconds;
   if (silence.duration_s < silence.threshold_s) return silence;  // no need to count the machines
   silence.machines = state_machine_.machines_up();
   const double interval_s = context_.config().heartbeat_interval_s;
   const double round_s = constants::kHeartbeatRoundFactor * interval_s + holds_.idle_hold_s();
-  const double missed_s = constants::kHeartbeatsMissedThreshold * interval_s /
+  const double missed_s = constants::kMissedHeartbeatsThreshold * interval_s /
                           std::max(1.0, static_cast<double>(silence.machines));
   silence.threshold_s = std::max(silence.threshold_s, std::min(round_s, missed_s));
   return silence;
--- a/src/app/job_status_reader.cpp
+++ b/src/app/job_status_reader.cpp
@@ -24,7 +24,7 @@
 
 net::Task<std::vector<PolledJobStatus>> JobStatusReader::read(std::vector<JobId> ids) {
   Batch batch;
-  batch.deadline = loop_.now() + net::seconds(constants::kPollTimeout);
+  batch.deadline = loop_.now() + net::seconds(constants::kPollTimeoutSeconds);
   batch.statuses.assign(ids.size(), PolledJobStatus{http_status::kServiceUnavailable, {}});
   batch.ids = std::move(ids);
   if (state_.unreachable()) {
@@ -88,7 +88,7 @@
   for (const auto position : batch.individual) net::spawn(read_one(batch, position, pending));
   // Every lookup ends by the deadline of its own calls, and all write into `batch`: none may be left behind.
   while (pending.count > 0)
-    co_await pending.all_done.wait_until(loop_.now() + net::seconds(constants::kPollTimeout));
+    co_await pending.all_done.wait_until(loop_.now() + net::seconds(constants::kPollTimeoutSeconds));
 }
 
 net::Task<void> JobStatusReader::read_one(Batch& batch, std::size_t position, PendingLookups& pending) {
--- a/src/app/latency_histogram.hpp
+++ b/src/app/latency_histogram.hpp
@@ -8,7 +8,8 @@
 
 namespace dockdyke::app {
 
-// Logarithmic bins between constants::kLatencyMin and kLatencyMax (s); latencies outside fall into two more.
+// Logarithmic bins between constants::kMinLatencySeconds and kMaxLatencySeconds (s); latencies outside fall
+// into two more.
 class LatencyHistogram {
  public:
   void add(double seconds) { counts_(seconds); }
@@ -27,8 +28,8 @@
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
-  boost::histogram::histogram<std::tuple<Axis>> counts_{
-      std::make_tuple(Axis(constants::kLatencyBins, constants::kLatencyMin, constants::kLatencyMax))};
+  boost::histogram::histogram<std::tuple<Axis>> counts_{std::make_tuple(
+      Axis(constants::kLatencyBinCount, constants::kMinLatencySeconds, constants::kMaxLatencySeconds))};
 };
 
 }  // namespace dockdyke::app
--- a/src/app/leader_forwarder.cpp
+++ b/src/app/leader_forwarder.cpp
@@ -29,7 +29,7 @@
 void LeaderForwarder::record_outcome(bool responded) {
   consecutive_timeouts_ = responded ? 0 : consecutive_timeouts_ + 1;
   if (consecutive_timeouts_ >= constants::kSlowLeaderThreshold)
-    backoff_until_ = loop_.now() + net::seconds(constants::kSlowLeaderBackoff);
+    backoff_until_ = loop_.now() + net::seconds(constants::kSlowLeaderBackoffSeconds);
 }
 
 net::Task<std::optional<HttpResponse>> LeaderForwarder::forward(peer::ForwardedRequest request) {
@@ -37,9 +37,10 @@
   if (!address) co_return std::nullopt;
   // A leader that timed out several times in a row gets no requests for a while: cut off, it would cost every
   // user the timeout. While this controller's own writes are queued, even a slow leader is the better choice.
-  const bool saturated = state_.write_backlog_s() > constants::kForwardBacklogThreshold;
+  const bool saturated = state_.write_backlog_s() > constants::kForwardBacklogThresholdSeconds;
   if (!saturated && loop_.now() < backoff_until_) co_return std::nullopt;
-  const double timeout_s = saturated ? constants::kSaturatedForwardTimeout : constants::kForwardTimeout;
+  const double timeout_s =
+      saturated ? constants::kSaturatedForwardTimeoutSeconds : constants::kForwardTimeoutSeconds;
   std::optional<HttpResponse> response =
       co_await peer::forward(transport_, *address, std::move(request), timeout_s);
   record_outcome(response.has_value());
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -46,8 +46,8 @@
 
 double LeaderTerm::next_wakeup_s() const {
   // With all writes in flight, as in an outage, none can be started: the end of one wakes the loop.
-  const double write_due_s = state_writer_.next_due_in_s().value_or(constants::kHousekeepingInterval);
-  return std::min(constants::kHousekeepingInterval, write_due_s);
+  const double write_due_s = state_writer_.next_due_in_s().value_or(constants::kHousekeepingIntervalSeconds);
+  return std::min(constants::kHousekeepingIntervalSeconds, write_due_s);
 }
 
 bool LeaderTerm::apply_events(core::Time now) {
@@ -94,7 +94,7 @@
     cloud::Result<std::vector<wire::ListedMachine>> listed = co_await context_.cloud().machines();
     if (!context_.alive()) co_return;
     if (listed) push(core::MachinesListed{std::move(listed.value)});
-    co_await context_.loop().sleep(net::seconds(constants::kMachineListInterval));
+    co_await context_.loop().sleep(net::seconds(constants::kMachineListIntervalSeconds));
   }
 }
 
@@ -102,9 +102,9 @@
   double since_statistics_s = 0;
   while (context_.alive()) {
     push(core::Tick{});
-    co_await context_.loop().sleep(net::seconds(constants::kHousekeepingInterval));
-    since_statistics_s += constants::kHousekeepingInterval;
-    if (since_statistics_s < constants::kAutoscalerInterval) continue;
+    co_await context_.loop().sleep(net::seconds(constants::kHousekeepingIntervalSeconds));
+    since_statistics_s += constants::kHousekeepingIntervalSeconds;
+    if (since_statistics_s < constants::kAutoscalerIntervalSeconds) continue;
     since_statistics_s = 0;
     log_statistics();
   }
--- a/src/app/machine_type_refresher.cpp
+++ b/src/app/machine_type_refresher.cpp
@@ -22,7 +22,7 @@
 net::Task<void> MachineTypeRefresher::store_types() {
   wire::Transaction transaction;
   transaction.puts.push_back({core::key::kMachineTypes, wire::to_json(catalog_.types()), {}});
-  const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
   store::Result<store::Committed> committed =
       co_await state_.commit(std::move(transaction), store::RequestPriority::background, deadline);
   // A value that is too large stays too large.
@@ -30,7 +30,7 @@
 }
 
 net::Task<void> MachineTypeRefresher::load_stored_types() {
-  const auto deadline = loop_.now() + net::seconds(constants::kStateCallTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kStateCallTimeoutSeconds);
   store::Result<wire::KeyValue> stored = co_await state_.get(core::key::kMachineTypes, deadline);
   if (!stored) co_return;
   try {
@@ -50,8 +50,8 @@
       co_await load_stored_types();
     }
     const bool retry_soon = !catalog_.known() || (leadership_.leading() && !stored_);
-    co_await loop_.sleep(
-        net::seconds(retry_soon ? constants::kMachineTypesRetryInterval : constants::kMachineTypesInterval));
+    co_await loop_.sleep(net::seconds(retry_soon ? constants::kMachineTypesRetryIntervalSeconds
+                                                 : constants::kMachineTypesIntervalSeconds));
   }
 }
 
--- a/src/app/peer_monitor.cpp
+++ b/src/app/peer_monitor.cpp
@@ -21,7 +21,7 @@
 
 net::Task<void> PeerMonitor::run() {
   for (;;) {
-    co_await loop_.sleep(net::seconds(constants::kPeerStatusInterval));
+    co_await loop_.sleep(net::seconds(constants::kPeerStatusIntervalSeconds));
     if (state_.unreachable()) {
       co_await check_peers();
     } else {
--- a/src/app/poll_batcher.cpp
+++ b/src/app/poll_batcher.cpp
@@ -63,7 +63,7 @@
     std::map<JobId, PolledJobStatus> statuses;
     for (std::size_t i = 0; i < ids.size(); ++i) statuses.emplace(ids[i], polled[i]);
     for (const auto& poll : batch) poll.status.set(statuses.at(poll.id));
-    co_await loop_.sleep(net::seconds(constants::kPollBatchInterval));
+    co_await loop_.sleep(net::seconds(constants::kPollBatchIntervalSeconds));
   }
   running_ = false;
 }
--- a/src/app/rate_share_manager.cpp
+++ b/src/app/rate_share_manager.cpp
@@ -16,11 +16,11 @@
   if (peer_count_ == 0) {
     state_.set_shares(1, 1);
   } else if (leadership_.leading()) {
-    state_.set_shares(constants::kLeaderRateShare, constants::kLeaderRateShare);
+    state_.set_shares(constants::kLeaderRateFraction, constants::kLeaderRateFraction);
   } else {
     const auto followers = static_cast<double>(peer_count_);
-    state_.set_shares(constants::kFollowersRequestShare / followers,
-                      constants::kFollowersWriteShare / followers);
+    state_.set_shares(constants::kFollowerRequestRateFraction / followers,
+                      constants::kFollowerWriteRateFraction / followers);
   }
 }
 
--- a/src/app/response_holds.cpp
+++ b/src/app/response_holds.cpp
@@ -16,8 +16,8 @@
     : context_(context), state_machine_(state_machine), max_held_(max_held) {}
 
 double ResponseHolds::idle_hold_s() const {
-  return std::min(constants::kIdleHoldMax,
-                  constants::kIdleHoldShare * context_.config().heartbeat_interval_s);
+  return std::min(constants::kMaxIdleHoldSeconds,
+                  constants::kIdleHoldFraction * context_.config().heartbeat_interval_s);
 }
 
 net::Task<void> ResponseHolds::wait(MachineId machine) {
@@ -30,7 +30,7 @@
     if (hold == ResponseHold::awaiting_work && held_.size() >= max_held_) co_return;
     // Work assigned to an idle machine meanwhile has the same time to be stored as any other.
     if (hold == ResponseHold::awaiting_write && !write_until)
-      write_until = loop.now() + net::seconds(constants::kWriteHoldTimeout);
+      write_until = loop.now() + net::seconds(constants::kWriteHoldTimeoutSeconds);
     const auto until = write_until.value_or(idle_until);
     if (loop.now() >= until) co_return;
     const net::OneShot<bool> released(loop);
--- a/src/app/status_poll_handler.cpp
+++ b/src/app/status_poll_handler.cpp
@@ -20,7 +20,8 @@
 net::Task<HttpResponse> StatusPollHandler::poll(JobId id) {
   if (const auto* cached = terminal_jobs_.find(id))
     co_return json_response(http_status::kOk, wire::job_status_response(id, *cached));
-  const peer::PolledJobStatus polled = co_await batcher_.poll(id, net::seconds(constants::kPollTimeout));
+  const peer::PolledJobStatus polled =
+      co_await batcher_.poll(id, net::seconds(constants::kPollTimeoutSeconds));
   if (polled.status == http_status::kServiceUnavailable) co_return service_unavailable();
   if (polled.status != http_status::kOk) co_return empty_response(polled.status);
   if (is_terminal(polled.job.state)) terminal_jobs_.insert(id, polled.job);
@@ -29,7 +30,7 @@
 
 net::Task<std::vector<peer::PolledJobStatus>> StatusPollHandler::poll_for_peer(std::vector<JobId> ids) {
   std::vector<peer::PolledJobStatus> statuses =
-      co_await batcher_.poll_all(std::move(ids), net::seconds(constants::kLeaderPollTimeout));
+      co_await batcher_.poll_all(std::move(ids), net::seconds(constants::kLeaderPollTimeoutSeconds));
   co_return statuses;
 }
 
--- a/src/app/submission_handler.cpp
+++ b/src/app/submission_handler.cpp
@@ -52,7 +52,7 @@
   // The state service has not been responding: the user is told now, not when another call has timed out.
   if (state_.unreachable()) co_return service_unavailable();
   // Queued behind more writes than that, it would time out after seconds of waiting.
-  if (state_.write_backlog_s() > constants::kSubmissionBacklogLimit) co_return service_unavailable();
+  if (state_.write_backlog_s() > constants::kMaxSubmissionBacklogSeconds) co_return service_unavailable();
   auto spec = parse_submission(body);
   ++in_flight_;
   const auto started_at = loop_.now();
@@ -63,7 +63,7 @@
 }
 
 net::Task<HttpResponse> SubmissionHandler::commit(wire::JobSpec spec) {
-  const auto deadline = loop_.now() + net::seconds(constants::kSubmissionTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kSubmissionTimeoutSeconds);
   const JobId id = spec.id;
   const bool can_run = feasibility_.can_ever_run(spec);
   core::JobRecord record;
--- a/src/app/term_context.cpp
+++ b/src/app/term_context.cpp
@@ -65,11 +65,11 @@
 }
 
 net::Loop::Sleep TermContext::retry_delay() const {
-  return services_.loop.sleep(net::seconds(constants::kBackgroundRetryInterval));
+  return services_.loop.sleep(net::seconds(constants::kBackgroundRetryIntervalSeconds));
 }
 
 net::TimePoint TermContext::background_deadline() const {
-  return services_.loop.now() + net::seconds(constants::kBackgroundCallTimeout);
+  return services_.loop.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
 }
 
 }  // namespace dockdyke::app
--- a/src/app/view_freshness.cpp
+++ b/src/app/view_freshness.cpp
@@ -41,17 +41,19 @@
 
 double ViewFreshness::max_staleness_s() const {
   const double spare_s = std::max(0.0, config_.cancellation_timeout_s - config_.worker_lease_s);
-  return spare_s - std::min(constants::kCancellationMarginMax, constants::kCancellationMarginShare * spare_s);
+  return spare_s -
+         std::min(constants::kMaxCancellationMarginSeconds, constants::kCancellationMarginFraction * spare_s);
 }
 
 double ViewFreshness::watch_timeout_s() const {
-  return std::min(constants::kLeaderWatchTimeout, max_staleness_s() / constants::kWatchesPerMaxStaleness);
+  return std::min(constants::kLeaderWatchTimeoutSeconds,
+                  max_staleness_s() / constants::kMinWatchesPerMaxStaleness);
 }
 
 bool ViewFreshness::isolated_too_long() const {
   if (!isolated_since_) return false;
-  const double service_s =
-      std::min(constants::kIsolatedServiceTimeMax, constants::kIsolatedServiceTimeShare * max_staleness_s());
+  const double service_s = std::min(constants::kMaxIsolatedServiceTimeSeconds,
+                                    constants::kIsolatedServiceTimeFraction * max_staleness_s());
   return loop_.now() - *isolated_since_ >= net::seconds(service_s);
 }
 
@@ -60,7 +62,7 @@
 }
 
 bool ViewFreshness::may_start_tasks() const {
-  return staleness_s() < constants::kStartStalenessWatches * watch_timeout_s();
+  return staleness_s() < constants::kMaxStartStalenessFactor * watch_timeout_s();
 }
 
 }  // namespace dockdyke::app
--- a/src/app/worker_reachability_monitor.cpp
+++ b/src/app/worker_reachability_monitor.cpp
@@ -29,13 +29,13 @@
 bool WorkerReachabilityMonitor::should_transfer(const HeartbeatSilence& silence,
                                                 const PeerSurvey& survey) const {
   const double required_heartbeats =
-      constants::kWorkersElsewhereShare * static_cast<double>(silence.machines);
+      constants::kWorkersAtPeersFraction * static_cast<double>(silence.machines);
   if (survey.recent_heartbeats > 0 && static_cast<double>(survey.recent_heartbeats) >= required_heartbeats)
     return true;
   // No peer responds: once, for workers that were heard before, and before their leases expire. A fleet that
   // is silent as a whole must not make the leadership change over and over.
   return !survey.any_response && silence.any_heartbeat_received &&
-         silence.duration_s >= constants::kIsolatedSilenceLeaseShare * settings_.cluster.worker_lease_s;
+         silence.duration_s >= constants::kIsolatedLeaderLeaseFraction * settings_.cluster.worker_lease_s;
 }
 
 net::Task<void> WorkerReachabilityMonitor::check() {
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -43,10 +43,10 @@
     : loop_(loop),
       transport_(transport),
       service_(service),
-      rate_limiter_(loop, requests_per_second * constants::kCloudRateShare) {}
+      rate_limiter_(loop, requests_per_second * constants::kCloudRateFraction) {}
 
 net::Task<ServiceReply> CloudClient::call(ServiceRequest request, RequestPriority priority) {
-  const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
   const bool acquired = co_await rate_limiter_.acquire(1, priority, deadline);
   if (!acquired) {
     ServiceReply none;
@@ -55,7 +55,7 @@
     co_return none;
   }
   ServiceReply reply = co_await store::call_service(transport_, service_, std::move(request),
-                                                    net::seconds(constants::kCloudCallTimeout));
+                                                    net::seconds(constants::kCloudCallTimeoutSeconds));
   co_return reply;
 }
 
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -21,11 +21,11 @@
 
 // Of the outcomes, the cloud's are ok, no_capacity, rejected and unknown. Unknown stands for everything after
 // which the call is to be repeated: an outage, the rate limit, no response, an unreadable one, or no token of
-// the rate limiter within kBackgroundCallTimeout. Nothing is repeated here. The client must outlive its
-// calls.
+// the rate limiter within kBackgroundCallTimeoutSeconds. Nothing is repeated here. The client must outlive
+// its calls.
 class CloudClient {
  public:
-  // `requests_per_second` is the cloud's limit for all controllers; the client uses kCloudRateShare of it.
+  // `requests_per_second` is the cloud's limit for all controllers; the client uses kCloudRateFraction of it.
   CloudClient(net::Loop& loop, net::Transport& transport, net::Address service, double requests_per_second);
 
   // Reads the machine types with their current prices.
--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -16,7 +16,7 @@
       scale_in_(scale_in) {}
 
 bool Autoscaler::run_due(Time now) const {
-  return now - last_run_at_ >= constants::kAutoscalerInterval;
+  return now - last_run_at_ >= constants::kAutoscalerIntervalSeconds;
 }
 
 std::size_t Autoscaler::fleet_size() const {
@@ -41,8 +41,9 @@
 }
 
 std::size_t Autoscaler::request_needed(std::size_t max_machines, Time now) {
-  auto calls = static_cast<std::size_t>(std::max(
-      1.0, state_.config().cloud_rps * constants::kHousekeepingInterval * constants::kScaleOutCallShare));
+  auto calls = static_cast<std::size_t>(
+      std::max(1.0, state_.config().cloud_rps * constants::kHousekeepingIntervalSeconds *
+                        constants::kScaleOutCallRateFraction));
   std::size_t requested = 0;
   const auto request_all = [&](const CapacityPlanner::Need& need) {
     for (const auto& [offering, machines] : need) {
@@ -87,7 +88,7 @@
   }
   for (const auto& type : state_.types()) {
     double& lasting = on_demand_load_[type.name];
-    lasting += constants::kOnDemandLoadSmoothing * (load[type.name] - lasting);
+    lasting += constants::kOnDemandLoadSmoothingFactor * (load[type.name] - lasting);
   }
 }
 
@@ -117,7 +118,7 @@
     const auto offering = spot_offering(type, now);
     if (!offering) continue;
     // One at a time where one makes up for it; a large load in one full call.
-    const auto share = static_cast<std::size_t>(excess * constants::kSpotReplacementShare);
+    const auto share = static_cast<std::size_t>(excess * constants::kSpotReplacementFraction);
     const auto count = std::min<std::size_t>(
         {max_machines, constants::kMaxMachinesPerScaleOut, std::max<std::size_t>(1, share)});
     scale_out_.request(*offering, count, now);
@@ -174,7 +175,7 @@
     if (!constraints_.accepts_work(machine, now) || !state_.type_of(machine)) continue;
     if (machine.assignments.empty()) {
       idle.push_back(&machine);
-    } else if (load_of(machine) >= constants::kNearlyDoneProgress) {
+    } else if (load_of(machine) >= constants::kNearlyDoneFraction) {
       ++summary_.overwhelmed;
     }
   }
@@ -208,7 +209,7 @@
   for (const Machine* machine : idle) {
     if (machine->reserved_for_gang != 0 || machine->in_gang_reserve) continue;
     const double boot_share =
-        machine->spot ? constants::kSpotIdleBootShare : constants::kOnDemandIdleBootShare;
+        machine->spot ? constants::kSpotIdleBootFraction : constants::kOnDemandIdleBootFraction;
     if (now - machine->idle_since < boot_share * state_.type_of(*machine)->boot_s) continue;
     ++summary_.underwhelmed;
     if (idle_left <= config.free_machines || summary_.machines - returned.size() <= config.min_machines)
--- a/src/core/autoscaler.hpp
+++ b/src/core/autoscaler.hpp
@@ -1,6 +1,6 @@
 // Autoscaling: how many machines there are, between the operators' bounds.
 //
-// Every `kAutoscalerInterval` overwhelmed, underwhelmed and free machines are counted and the fleet is
+// Every `kAutoscalerIntervalSeconds` overwhelmed, underwhelmed and free machines are counted and the fleet is
 // changed, as the CCV report describes ("Auto Scaler"). Capacity for waiting tasks is requested between those
 // runs as well.
 #pragma once
--- a/src/core/cancellation_tracker.cpp
+++ b/src/core/cancellation_tracker.cpp
@@ -73,7 +73,7 @@
 }
 
 void CancellationTracker::report_at_risk(Time now) {
-  const double at_risk_s = constants::kCancellationWarningShare * state_.config().cancellation_timeout_s;
+  const double at_risk_s = constants::kCancellationWarningFraction * state_.config().cancellation_timeout_s;
   for (auto& [serial, progress] : progress_) {
     const Job* job = state_.find_job(serial);
     if (!job || progress.reported_at_risk || time_left_s(*job, now) >= at_risk_s) continue;
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -32,7 +32,8 @@
     if (job.waiting_tasks() == 0 || now < job.backoff_until) continue;
     const auto start_s = start_target_s(state_.config(), job.spec.job_class);
     if (!start_s) continue;
-    const double patience_s = std::max(constants::kScaleOutDelay, constants::kStartPressureShare * *start_s);
+    const double patience_s =
+        std::max(constants::kScaleOutDelaySeconds, constants::kStartPressureFraction * *start_s);
     if (now - job.queued_since <= patience_s) continue;
     for (std::size_t type = 0; type < under_pressure.size(); ++type)
       under_pressure[type] = under_pressure[type] || job.compatible_with(type);
@@ -236,14 +237,14 @@
   const bool any_allowed = fill_present_machines(plan, claim);
   // Machines that are about to become free are waited for shortly; a task that no present machine could hold
   // is not.
-  if (claim.tasks == 0 || (any_allowed && now - job.queued_since < constants::kScaleOutDelay)) return;
+  if (claim.tasks == 0 || (any_allowed && now - job.queued_since < constants::kScaleOutDelaySeconds)) return;
   request_rest(plan, claim, allow_on_demand, now);
 }
 
 // ---- Needs ------------------------------------------------------------------------------------------------
 
 CapacityPlanner::Need CapacityPlanner::need_of_expected_gangs(std::size_t max_machines, Time now) {
-  const auto& expected = gang_reservations_.expected();
+  const auto& expected = gang_reservations_.expected_gangs();
   if (expected.empty()) return {};
   // Capacity that is about to become free is no reserve: at any time, as much is about to be asked for.
   Plan plan = begin_plan(group_machines(false, now), 0);
@@ -255,10 +256,10 @@
   }
   plan.max_machines = max_machines;
   for (const auto& each : expected) {
-    Job gang = gang_reservations_.model_job(each.largest);
+    Job gang = gang_reservations_.make_hypothetical_job(each.largest_gang);
     QueuedJob queued;
     queued.job = &gang;
-    for (std::size_t i = 0; i < each.gangs; ++i) {
+    for (std::size_t i = 0; i < each.count; ++i) {
       Claim claim{gang, gang.spec.task_count, constraints_.zone_capacity(gang), {}};
       serve(plan, queued, claim, now);
     }
--- a/src/core/cluster_state.cpp
+++ b/src/core/cluster_state.cpp
@@ -106,7 +106,9 @@
 }
 
 void ClusterState::expire_tombstones(Time now) {
-  const auto expired = [now](const auto& each) { return now - each.second > constants::kTombstoneTtl; };
+  const auto expired = [now](const auto& each) {
+    return now - each.second > constants::kTombstoneTtlSeconds;
+  };
   std::erase_if(deleted_machines_, expired);
   std::erase_if(ended_jobs_, expired);
 }
--- a/src/core/cluster_state.hpp
+++ b/src/core/cluster_state.hpp
@@ -45,7 +45,7 @@
   const Job* find_job(const JobId& id) const;
   Job* find_job(std::uint32_t serial) const;
   Job& add_job(const wire::JobSpec& spec, Revision version, Time submitted, Time now);
-  // The job is remembered as ended for `kTombstoneTtl`.
+  // The job is remembered as ended for `kTombstoneTtlSeconds`.
   void remove_job(const JobId& id, Time now);
   bool recently_ended(const JobId& id) const { return ended_jobs_.contains(id); }
   // Returns whether the job was not yet remembered as ended.
@@ -58,7 +58,7 @@
   const Machine* find_machine(const MachineId& id) const;
   Machine& find_or_add_machine(const MachineId& id, Time now);
   void set_offering(Machine& machine, const std::string& type, const std::string& zone, bool spot);
-  // The machine has no assignments any more. Its id is remembered as deleted for `kTombstoneTtl`.
+  // The machine has no assignments any more. Its id is remembered as deleted for `kTombstoneTtlSeconds`.
   void remove_machine(const MachineId& id, Time now);
   bool recently_deleted(const MachineId& id) const { return deleted_machines_.contains(id); }
   // Forgets ended jobs and deleted machines whose time is over.
--- a/src/core/completion_forecast.cpp
+++ b/src/core/completion_forecast.cpp
@@ -11,7 +11,7 @@
   const double expected = job.expected_run_s;
   if (assignment.running_since == 0 || expected <= 0) return false;
   const double progress = (now - assignment.running_since) / expected;
-  return progress >= constants::kNearlyDoneProgress && progress <= constants::kOverrunFactor;
+  return progress >= constants::kNearlyDoneFraction && progress <= constants::kOverrunFactor;
 }
 
 double quickest_boot_s(const ClusterState& state, const Job& job) {
@@ -28,7 +28,7 @@
   if (expected <= 0) return false;
   const double ran = assignment.ran_s(now);
   if (ran > constants::kOverrunFactor * expected) return false;
-  return expected - ran < constants::kFreesSoonBootShare * quickest_boot_s(state, job);
+  return expected - ran < constants::kFreesSoonBootFraction * quickest_boot_s(state, job);
 }
 
 }  // namespace dockdyke::core
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -90,7 +90,7 @@
 
 // ---- Time ----
 
-// Comes every `kHousekeepingInterval`.
+// Comes every `kHousekeepingIntervalSeconds`.
 struct Tick {};
 
 using Event = std::variant<JobLoaded, SegmentLoaded, GangPartLoaded, ScaleOutLoaded, ScaleInLoaded,
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -11,8 +11,8 @@
     : state_(state), constraints_(constraints), lifecycle_(lifecycle) {}
 
 bool FailureDetector::lease_expired(const Machine& machine, Time now) const {
-  const double lease_s =
-      state_.config().worker_lease_s * (1 + 2 * constants::kMaxClockDrift) + constants::kLeaseExpiryMargin;
+  const double lease_s = state_.config().worker_lease_s * (1 + 2 * constants::kMaxClockDriftFraction) +
+                         constants::kLeaseExpiryMarginSeconds;
   // Only a worker that has shown this leader's token is known to live on its responses only; one that an
   // earlier leader may still keep alive is waited for or deleted.
   return machine.token_acknowledged &&
@@ -53,15 +53,15 @@
   // deleted. Waited for like any silent machine, some held cancelled tasks past the time that these have.
   if (silent && lease_expired(machine, now)) return true;
   const double reserve_s =
-      std::min(constants::kCancellationReserveMax,
-               constants::kCancellationReserveShare * state_.config().cancellation_timeout_s);
+      std::min(constants::kMaxCancellationReserveSeconds,
+               constants::kCancellationReserveFraction * state_.config().cancellation_timeout_s);
   // With the time over, deletion is no longer urgent: most often the task is gone and only the proof is
   // missing.
   if (*left_s <= 0) return silent;
   // Silence starts afresh with each leader. Counted as contact, it made a machine that nobody had heard look
   // alive to one short-lived leader after the other.
   if (*left_s < reserve_s && !in_contact(machine, now)) return true;
-  return *left_s < constants::kCancellationLastResortShare * reserve_s;
+  return *left_s < constants::kCancellationLastResortFraction * reserve_s;
 }
 
 std::vector<MachineId> FailureDetector::machines_holding_cancelled_tasks(Time now) const {
@@ -75,18 +75,21 @@
   const double age_s = now - machine.rented_at;
   if (const auto* type = state_.type_of(machine)) return age_s > constants::kLostBootFactor * type->boot_s;
   // One known only from a record and shown by no list is most likely gone; deleting it is the proof.
-  return !machine.listed && age_s > 2 * state_.config().machine_list_lag_s + constants::kUnknownMachineGrace;
+  return !machine.listed &&
+         age_s > 2 * state_.config().machine_list_lag_s + constants::kUnknownMachineGraceSeconds;
 }
 
 bool FailureDetector::unreachable(const Machine& machine, Time now) const {
   const bool terminated = machine.terminates_at && now > *machine.terminates_at;
   return machine.missed_listings >= constants::kMissedListingsThreshold || terminated ||
-         now - machine.last_heartbeat_at > state_.config().worker_lease_s + constants::kSilentMachineGrace;
+         now - machine.last_heartbeat_at >
+             state_.config().worker_lease_s + constants::kUnresponsiveMachineGraceSeconds;
 }
 
 bool FailureDetector::responses_lost(const Machine& machine, Time now) const {
   return machine.undelivered_responses >= constants::kUndeliveredResponsesThreshold &&
-         now - machine.undelivered_since > state_.config().worker_lease_s + constants::kLeaseExpiryMargin;
+         now - machine.undelivered_since >
+             state_.config().worker_lease_s + constants::kLeaseExpiryMarginSeconds;
 }
 
 bool FailureDetector::to_be_deleted(const Machine& machine, Time now) const {
--- a/src/core/gang_bin_packing.cpp
+++ b/src/core/gang_bin_packing.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// The soonest to start first, then those that hold the most tasks.
+// Sorts by start delay, then by descending number of tasks that fit, then by cost.
 void sort_candidates(std::vector<GangCandidate>& candidates, std::size_t tasks) {
-  const auto rank = [tasks](const GangCandidate& each) {
-    const auto held = static_cast<double>(std::min(each.fits, tasks));
-    return std::tuple(each.fetch_s, -held, each.cost);
+  const auto rank = [tasks](const GangCandidate& candidate) {
+    const auto usable_capacity = static_cast<double>(std::min(candidate.task_capacity, tasks));
+    return std::tuple(candidate.start_delay_s, -usable_capacity, candidate.cost);
   };
   std::sort(candidates.begin(), candidates.end(), [&](const GangCandidate& a, const GangCandidate& b) {
     const auto rank_a = rank(a);
@@ -24,22 +24,22 @@
 
 }  // namespace
 
-GangChoice choose_machines(std::vector<GangCandidate> candidates, std::size_t tasks,
-                           std::size_t most_per_zone) {
+GangPlacement choose_machines(std::vector<GangCandidate> candidates, std::size_t tasks,
+                              std::size_t max_tasks_per_zone) {
   sort_candidates(candidates, tasks);
-  std::map<std::string, std::size_t> in_zone;
-  GangChoice choice;
+  std::map<std::string, std::size_t> tasks_by_zone;
+  GangPlacement placement;
   for (const auto& candidate : candidates) {
-    std::size_t& there = in_zone[candidate.machine->zone];
-    const std::size_t count = std::min({candidate.fits, tasks, most_per_zone - there});
+    std::size_t& tasks_in_zone = tasks_by_zone[candidate.machine->zone];
+    const std::size_t count = std::min({candidate.task_capacity, tasks, max_tasks_per_zone - tasks_in_zone});
     if (count == 0) continue;
-    there += count;
+    tasks_in_zone += count;
     tasks -= count;
-    choice.rank.slowest_fetch_s = std::max(choice.rank.slowest_fetch_s, candidate.fetch_s);
-    choice.rank.cost += candidate.cost;
-    choice.shares.push_back({candidate.machine, count});
-    choice.rank.machines = choice.shares.size();
-    if (tasks == 0) return choice;
+    placement.rank.start_delay_s = std::max(placement.rank.start_delay_s, candidate.start_delay_s);
+    placement.rank.cost += candidate.cost;
+    placement.machine_tasks.push_back({candidate.machine, count});
+    placement.rank.machines = placement.machine_tasks.size();
+    if (tasks == 0) return placement;
   }
   return {};
 }
--- a/src/core/gang_bin_packing.hpp
+++ b/src/core/gang_bin_packing.hpp
@@ -1,4 +1,4 @@
-// Chooses machines that together hold all tasks of a gang.
+// Selects machines that together have capacity for all tasks of a gang.
 #pragma once
 
 #include <cstddef>
@@ -11,33 +11,34 @@
 // A machine with capacity for some of the gang's tasks.
 struct GangCandidate {
   Machine* machine = nullptr;
-  double fetch_s = 0;    // until a task could start there
-  double cost = 0;       // by `PlacementCost`
-  std::size_t fits = 0;  // tasks
+  double start_delay_s = 0;       // until a task could start there
+  double cost = 0;                // by `PlacementCost`
+  std::size_t task_capacity = 0;  // number of the gang's tasks that fit
 };
 
-// So many tasks of the gang on this machine.
-struct GangShare {
+// The number of the gang's tasks placed on a machine.
+struct MachineTasks {
   Machine* machine = nullptr;
   std::size_t tasks = 0;
 };
 
-// How good a choice is: the gang starts when the slowest fetch is over, and the fewer machines have to be
-// heard from the sooner. Smaller is better, in the order of the fields.
-struct GangChoiceRank {
-  double slowest_fetch_s = 0;
+// Ranks placements by these fields in their order; the smallest is the best. The gang starts after the
+// longest start delay, and the fewer its machines, the sooner all of them have confirmed the start.
+struct GangPlacementRank {
+  double start_delay_s = 0;
   std::size_t machines = 0;
   double cost = 0;
-  auto operator<=>(const GangChoiceRank&) const = default;
+  auto operator<=>(const GangPlacementRank&) const = default;
 };
 
-struct GangChoice {
-  std::vector<GangShare> shares;  // empty: the gang does not fit
-  GangChoiceRank rank;
+struct GangPlacement {
+  std::vector<MachineTasks> machine_tasks;  // empty if the gang does not fit
+  GangPlacementRank rank;
 };
 
-// Fills the best candidates first, with at most `most_per_zone` tasks in any zone.
-GangChoice choose_machines(std::vector<GangCandidate> candidates, std::size_t tasks,
-                           std::size_t most_per_zone);
+// Fills the best candidates first, with at most `max_tasks_per_zone` tasks in each zone. Returns an empty
+// placement if not all tasks fit.
+GangPlacement choose_machines(std::vector<GangCandidate> candidates, std::size_t tasks,
+                              std::size_t max_tasks_per_zone);
 
 }  // namespace dockdyke::core
--- a/src/core/gang_capacity_reserve.hpp
+++ b/src/core/gang_capacity_reserve.hpp
@@ -1,9 +1,8 @@
-// How much capacity to hold ready for gangs that are expected.
+// Estimates how much capacity to hold for gangs that are expected to arrive.
 //
-// Owners want gangs to start within seconds, machines boot for most of a minute, and a gang needs all its
-// capacity at once. While gangs of a class keep coming, capacity is held for as many as usually come more
-// than the average while a machine boots: the square root of their number, as for arrivals that are
-// independent of each other.
+// Some classes have start objectives shorter than a machine's boot time, and a gang needs all its capacity at
+// once. The reserve covers the square root of the number of gangs that arrived within one boot time, which is
+// the standard deviation of independent arrivals.
 #pragma once
 
 #include <cstddef>
@@ -20,25 +19,27 @@
 
 // Gangs of one class for which capacity is held.
 struct ExpectedGangs {
-  wire::JobSpec largest;  // the largest gang of the class that came lately
-  std::size_t gangs = 0;
+  wire::JobSpec largest_gang;  // of the recently arrived gangs of the class
+  std::size_t count = 0;
 };
 
+// Tracks recent gang arrivals by class and predicts further ones from them.
 class GangCapacityReserve {
  public:
-  // A gang of a class whose owners want quick starts was submitted.
-  void note_arrival(const wire::JobSpec& spec, Time now);
-  // By class; `window_s` is the time within which more machines could be up.
-  std::vector<ExpectedGangs> expected(double window_s, Time now);
-  // The images of the gangs that came lately.
-  std::set<std::string> images() const;
+  // Records the submission of a gang whose class has a short start objective.
+  void record_arrival(const wire::JobSpec& spec, Time now);
+  // Returns the gangs to hold capacity for, by class. `window_s` is the time that a new machine needs to
+  // boot.
+  std::vector<ExpectedGangs> expected_gangs(double window_s, Time now);
+  // Returns the images of the recently arrived gangs.
+  std::set<std::string> recent_images() const;
 
  private:
   struct Arrival {
-    Time at = 0;
+    Time arrived_at = 0;
     wire::JobSpec spec;
   };
-  std::map<std::string, std::deque<Arrival>> arrivals_;  // by class, within `kGangArrivalMemory`
+  std::map<std::string, std::deque<Arrival>> arrivals_;  // by class, within `kGangArrivalWindowSeconds`
 };
 
 }  // namespace dockdyke::core
--- a/src/core/gang_checkpoint.cpp
+++ b/src/core/gang_checkpoint.cpp
@@ -15,48 +15,49 @@
                                TaskLifecycle& lifecycle, EffectQueue& effects)
     : state_(state), constraints_(constraints), lifecycle_(lifecycle), effects_(effects) {}
 
-bool GangCheckpoint::can_save(const Job& job, Time now) const {
+bool GangCheckpoint::should_checkpoint(const Job& job, Time now) const {
   const auto& spec = job.spec;
   if (spec.checkpoint_interval_s <= 0 || job.gang.aborted || job.gang.started_at == 0) return false;
   const bool all_reachable =
-      std::all_of(job.assignments.begin(), job.assignments.end(), [&](const auto& each) {
-        const TaskAssignment& assignment = each.second;
+      std::all_of(job.assignments.begin(), job.assignments.end(), [&](const auto& entry) {
+        const TaskAssignment& assignment = entry.second;
         const Machine& machine = *assignment.machine;
         return assignment.observed && assignment.state == wire::TaskState::running &&
                machine.token_acknowledged && machine.undelivered_responses == 0 &&
                !constraints_.silent(machine, now);
       });
-  // What has run since the last checkpoint, as far as is known here, must be worth the time that saving
-  // takes.
-  const double unsaved_s = std::fmod(now - job.gang.started_at, spec.checkpoint_interval_s);
-  return all_reachable && job.assignments.size() == spec.task_count && unsaved_s > spec.checkpoint_duration_s;
+  // The progress since the last checkpoint, as far as the leader can tell, must exceed the time that a
+  // checkpoint takes.
+  const double since_checkpoint_s = std::fmod(now - job.gang.started_at, spec.checkpoint_interval_s);
+  return all_reachable && job.assignments.size() == spec.task_count &&
+         since_checkpoint_s > spec.checkpoint_duration_s;
 }
 
-void GangCheckpoint::save_and_stop(Job& job) {
+void GangCheckpoint::checkpoint_and_stop(Job& job) {
   job.gang.aborted = true;
   std::map<Machine*, std::vector<wire::Command>, ById> commands;
   for (auto& [index, assignment] : job.assignments) {
-    assignment.stop(job.spec.checkpoint_duration_s + constants::kGangCheckpointMargin);
+    assignment.stop(job.spec.checkpoint_duration_s + constants::kGangCheckpointMarginSeconds);
     commands[assignment.machine].push_back(
         {wire::CommandKind::stop, {job.spec.id, index}, assignment.attempt, assignment.grace_s});
   }
-  // Where all are on one machine its next response tells them at the same time.
+  // A single machine receives all stop commands in its next heartbeat response.
   if (commands.size() < 2) return;
-  for (auto& [machine, each] : commands)
-    effects_.push(
-        SendStopCommands{machine->id, machine->worker_address, machine->incarnation, std::move(each)});
+  for (auto& [machine, stop_commands] : commands)
+    effects_.push(SendStopCommands{machine->id, machine->worker_address, machine->incarnation,
+                                   std::move(stop_commands)});
 }
 
-void GangCheckpoint::handle_termination_notice(Job& job, double left_s, Time now) {
+void GangCheckpoint::handle_termination_notice(Job& job, double time_left_s, Time now) {
   if (job.gang.aborted || !job.unfinished()) return;
   const auto& spec = job.spec;
   const double ran_s = job.gang.started_at > 0 ? now - job.gang.started_at : 0;
-  if (job.expected_run_s - ran_s <= left_s) return;  // it may well end before
+  if (job.expected_run_s - ran_s <= time_left_s) return;  // expected to end in time
   if (spec.checkpoint_interval_s <= 0) {
-    lifecycle_.abort_gang(job);  // nothing of it can be kept: the sooner it starts again elsewhere the better
-  } else if (left_s <= last_chance_to_save_s(state_.config(), spec) && left_s > spec.checkpoint_duration_s &&
-             can_save(job, now)) {
-    save_and_stop(job);
+    lifecycle_.abort_gang(job);  // it writes no checkpoints, so it restarts elsewhere as early as possible
+  } else if (time_left_s <= last_chance_to_save_s(state_.config(), spec) &&
+             time_left_s > spec.checkpoint_duration_s && should_checkpoint(job, now)) {
+    checkpoint_and_stop(job);
   }
 }
 
--- a/src/core/gang_checkpoint.hpp
+++ b/src/core/gang_checkpoint.hpp
@@ -1,5 +1,5 @@
-// Coordinated checkpoints: a gang saves its progress only if all its tasks are told to at nearly the same
-// time.
+// Coordinated checkpoints of gangs: a checkpoint is valid only if all tasks of the gang receive the stop
+// command at nearly the same time.
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -10,20 +10,22 @@
 
 namespace dockdyke::core {
 
+// Decides what happens to a gang when one of its machines receives a termination notice.
 class GangCheckpoint {
  public:
   GangCheckpoint(const ClusterState& state, const SchedulingConstraints& constraints,
                  TaskLifecycle& lifecycle, EffectQueue& effects);
 
-  // One of the gang's machines is taken back in `left_s`: lets it end, saves and stops all its tasks, or
-  // aborts it.
-  void handle_termination_notice(Job& job, double left_s, Time now);
+  // Handles a termination notice for one of the gang's machines, which is reclaimed in `time_left_s`: lets
+  // the gang complete, makes it write a checkpoint and stop, or aborts it.
+  void handle_termination_notice(Job& job, double time_left_s, Time now);
 
  private:
-  // Whether all its tasks run where they can be told to save now, and more would be lost otherwise.
-  bool can_save(const Job& job, Time now) const;
-  // Tells all tasks to save and to end.
-  void save_and_stop(Job& job);
+  // Returns whether all tasks are running on reachable machines, and a checkpoint takes less time than the
+  // progress that would be lost without it.
+  bool should_checkpoint(const Job& job, Time now) const;
+  // Stops all tasks with a grace period for writing a checkpoint.
+  void checkpoint_and_stop(Job& job);
 
   const ClusterState& state_;
   const SchedulingConstraints& constraints_;
--- a/src/core/gang_scheduler.hpp
+++ b/src/core/gang_scheduler.hpp
@@ -1,4 +1,4 @@
-// Gang scheduling: all tasks of a gang are assigned at once or none, under one attempt number.
+// Gang scheduling: all tasks of a gang are assigned together or not at all, under one attempt number.
 #pragma once
 
 #include <vector>
@@ -14,6 +14,7 @@
 
 namespace dockdyke::core {
 
+// Assigns gangs to machines and aborts attempts that are not assembled in time.
 class GangScheduler {
  public:
   GangScheduler(ClusterState& state, const SchedulingConstraints& constraints, JobQueue& queue,
@@ -21,16 +22,17 @@
 
   // Assigns all tasks of the gang to some of these machines. Returns whether they fit.
   bool assign(Job& job, const std::vector<Machine*>& machines, Time now);
-  // Gangs that have waited long enough are assigned also to machines that await no response at the moment.
+  // Assigns gangs that have waited for a while to any machines that accept work, including those that do not
+  // await a response at the moment.
   void assign_to_any_machines(Time now);
-  // Aborts attempts whose tasks have not all been observed in time: those that have begun to wait give up
-  // after `gang_assembly_timeout_s`.
+  // Aborts attempts whose tasks have not all been observed well before `gang_assembly_timeout_s`, after which
+  // tasks end by themselves if their gang is incomplete.
   void abort_incomplete_attempts(Time now);
 
  private:
-  std::vector<GangShare> choose(const Job& job, const std::vector<Machine*>& machines, Time now);
-  // Begins a new attempt with these shares.
-  void begin_attempt(Job& job, const std::vector<GangShare>& shares, Time now);
+  // Returns the best placement of all tasks, or an empty one if they do not fit.
+  std::vector<MachineTasks> choose_placement(const Job& job, const std::vector<Machine*>& machines, Time now);
+  void begin_attempt(Job& job, const std::vector<MachineTasks>& placement, Time now);
   void abort_if_incomplete(Job& job, Time now);
 
   ClusterState& state_;
@@ -41,7 +43,7 @@
   TaskLifecycle& lifecycle_;
 };
 
-// All machines that accept work now, by id.
+// Returns all machines that accept work now, ordered by id.
 std::vector<Machine*> machines_accepting_work(ClusterState& state, const SchedulingConstraints& constraints,
                                               Time now);
 
--- a/src/core/job_queue.cpp
+++ b/src/core/job_queue.cpp
@@ -59,7 +59,7 @@
 
 const std::vector<QueuedJob>& JobQueue::ordered(Time now) {
   const bool short_queue = order_.size() < constants::kSmallQueueSize;
-  if (stale_ && (short_queue || now - ordered_at_ >= constants::kQueueOrderInterval)) reorder(now);
+  if (stale_ && (short_queue || now - ordered_at_ >= constants::kQueueSortIntervalSeconds)) reorder(now);
   return order_;
 }
 
@@ -94,7 +94,8 @@
 }
 
 bool JobQueue::starving(const Job& job, Time now) const {
-  return !job.started && job.assignments.empty() && now - job.submitted >= constants::kStarvationThreshold;
+  return !job.started && job.assignments.empty() &&
+         now - job.submitted >= constants::kStarvationThresholdSeconds;
 }
 
 QueuedJob JobQueue::assess(Job& job, Time now) const {
@@ -114,7 +115,7 @@
   const bool start_counts = start_s && *start_s < 2 * round_s;
   const double slack_s = queued.slo_deadline - now - job.expected_run_s;
   queued.latency_critical =
-      start_counts || !queued.slo_reachable || slack_s < constants::kLatencyCriticalRounds * round_s;
+      start_counts || !queued.slo_reachable || slack_s < constants::kLatencyCriticalRoundFactor * round_s;
   return queued;
 }
 
--- a/src/core/job_queue.hpp
+++ b/src/core/job_queue.hpp
@@ -48,7 +48,7 @@
            const RunTimeEstimator& run_time_estimator);
 
   // The waiting jobs in the order in which they are to be served. Ordered anew when it is stale, and in a
-  // long queue not before `kQueueOrderInterval` has passed.
+  // long queue not before `kQueueSortIntervalSeconds` has passed.
   const std::vector<QueuedJob>& ordered(Time now);
   void invalidate() { stale_ = true; }
   bool stale() const { return stale_; }
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -71,7 +71,7 @@
   const double job_age_s = age_s(elected_ms_, record.submitted_ms) + (now - elected_at_);
   Job& job = state_.add_job(record.spec, version, now - std::max(0.0, job_age_s), now);
   job.expected_run_s = run_time_estimator_.expected(record.spec.job_class, record.spec.estimated_run_s);
-  gang_reservations_.note_arrival(job, now);
+  gang_reservations_.record_arrival(job, now);
   queue_.invalidate();
   return job;
 }
@@ -216,7 +216,7 @@
   scarce_types_.update(now);
   gang_scheduler_.assign_to_any_machines(now);
   gang_reservations_.reserve_for_waiting_gang(now);
-  gang_reservations_.hold_reserve(now);
+  gang_reservations_.update_capacity_reserve(now);
   preemption_.run(now);
   if (autoscaler_.run_due(now)) {
     scale_in_.request(failure_detector_.machines_to_delete(now));
--- a/src/core/machine.cpp
+++ b/src/core/machine.cpp
@@ -30,7 +30,8 @@
 }
 
 bool Machine::reserved_against(const Job& job, Time now) const {
-  if (in_gang_reserve && !job.is_gang() && now - job.queued_since < constants::kGangReserveWait) return true;
+  if (in_gang_reserve && !job.is_gang() && now - job.queued_since < constants::kGangReserveWaitSeconds)
+    return true;
   return reserved_for_gang != 0 && reserved_for_gang != job.serial;
 }
 
--- a/src/core/machine_health.cpp
+++ b/src/core/machine_health.cpp
@@ -50,21 +50,21 @@
     // Failing on several machines speaks against the job, until one of its tasks completes.
     clear_blame(job);
   }
-  if (job.failed_machines.size() < constants::kSuspectJobMachines) return;
-  const double doublings =
-      std::min<double>(6, static_cast<double>(job.failed_machines.size() - constants::kSuspectJobMachines));
-  job.backoff_until =
-      now + std::min(constants::kErrorBackoffMax, constants::kErrorBackoffInitial * std::exp2(doublings + 1));
+  if (job.failed_machines.size() < constants::kSuspectJobMachineThreshold) return;
+  const double doublings = std::min<double>(
+      6, static_cast<double>(job.failed_machines.size() - constants::kSuspectJobMachineThreshold));
+  job.backoff_until = now + std::min(constants::kMaxErrorBackoffSeconds,
+                                     constants::kInitialErrorBackoffSeconds * std::exp2(doublings + 1));
 }
 
 void MachineHealth::drain_faulty_machines(Time now) {
   for (auto& [id, machine] : state_.machines()) {
-    if (machine.draining || machine.failed_jobs.size() < constants::kFaultyMachineJobs) continue;
+    if (machine.draining || machine.failed_jobs.size() < constants::kFaultyMachineJobThreshold) continue;
     // It gets no work meanwhile. The delay lets the jobs fail elsewhere too, if it is they that are broken:
     // two broken jobs had several healthy machines deleted when this was decided at once.
     Time latest = 0;
     for (const auto& [job, failed_at] : machine.failed_jobs) latest = std::max(latest, failed_at);
-    if (now - latest >= constants::kQuarantineDelay) machine.draining = true;
+    if (now - latest >= constants::kQuarantineDelaySeconds) machine.draining = true;
   }
 }
 
--- a/src/core/objectives.cpp
+++ b/src/core/objectives.cpp
@@ -16,7 +16,7 @@
     if (objective.kind == Kind::deadline && job.spec.deadline_s)
       targets.push_back(*job.spec.deadline_s * objective.deadline_factor);
   }
-  if (targets.empty()) targets.push_back(job.spec.deadline_s.value_or(constants::kDefaultDeadline));
+  if (targets.empty()) targets.push_back(job.spec.deadline_s.value_or(constants::kDefaultDeadlineSeconds));
   std::sort(targets.begin(), targets.end());
   return targets;
 }
@@ -32,7 +32,7 @@
 
 bool wants_quick_start(const ClusterConfig& config, const wire::JobSpec& spec) {
   const auto target = start_target_s(config, spec.job_class);
-  return target && *target < constants::kQuickStartTarget;
+  return target && *target < constants::kQuickStartThresholdSeconds;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/objectives.hpp
+++ b/src/core/objectives.hpp
@@ -11,7 +11,7 @@
 namespace dockdyke::core {
 
 // Seconds after its submission at which the owners want the job done, the most ambitious first. Never empty:
-// a job without any objective or deadline has `kDefaultDeadline`.
+// a job without any objective or deadline has `kDefaultDeadlineSeconds`.
 std::vector<double> completion_targets_s(const ClusterConfig& config, const Job& job);
 
 // Seconds within which the class wants its tasks started, by its most ambitious objective.
--- a/src/core/offering_selector.cpp
+++ b/src/core/offering_selector.cpp
@@ -50,9 +50,9 @@
   const Job& job = *queued.job;
   if (!job.spec.spot_allowed) return true;
   // However far away its objective is, no job waits for ever for a cheaper machine.
-  if (now - job.queued_since >= constants::kSpotWaitTimeout) return true;
+  if (now - job.queued_since >= constants::kSpotWaitTimeoutSeconds) return true;
   const double slack_s = queued.slo_deadline - now - job.expected_run_s - quickest_boot_s(state_, job);
-  return queued.slo_reachable && slack_s < constants::kOnDemandSlack;
+  return queued.slo_reachable && slack_s < constants::kOnDemandSlackSeconds;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/placement_cost.cpp
+++ b/src/core/placement_cost.cpp
@@ -10,7 +10,8 @@
     : state_(state), constraints_(constraints) {}
 
 double PlacementCost::fetch_s(const Job& job, const Machine& machine) const {
-  return job.spec.image_gb / std::max(constants::kMinImageFetchRate, state_.type_of(machine)->fetch_gb_per_s);
+  return job.spec.image_gb /
+         std::max(constants::kMinImageFetchGbPerSecond, state_.type_of(machine)->fetch_gb_per_s);
 }
 
 std::optional<double> PlacementCost::of(const Job& job, const Machine& machine, double largest_cpus) const {
@@ -19,13 +20,14 @@
   if (!spec.task_resources.fits_into(free)) return std::nullopt;
   if (!constraints_.allowed_on(job, machine)) return std::nullopt;
   if (job.failed_machines.contains(machine.id)) return std::nullopt;
-  double cost = (free.cpus - spec.task_resources.cpus) / largest_cpus * constants::kLeftoverCapacityCost;
-  if (machine.assignments.empty()) cost += constants::kEmptyMachineCost;
-  if (!machine.spot && spec.spot_allowed) cost += constants::kOnDemandCost;
-  if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCost;
+  double cost =
+      (free.cpus - spec.task_resources.cpus) / largest_cpus * constants::kLeftoverCapacityCostSeconds;
+  if (machine.assignments.empty()) cost += constants::kEmptyMachineCostSeconds;
+  if (!machine.spot && spec.spot_allowed) cost += constants::kOnDemandCostSeconds;
+  if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCostSeconds;
   if (!machine.has_image(spec.image)) {
     const double fetch = fetch_s(job, machine);
-    cost += machine.fetches_image(spec.image) ? fetch * constants::kSharedImageFetchShare : fetch;
+    cost += machine.fetches_image(spec.image) ? fetch * constants::kSharedImageFetchFraction : fetch;
   }
   return cost;
 }
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -29,7 +29,7 @@
     const double lost_s = spec.checkpoint_interval_s > 0 ? spec.checkpoint_duration_s : assignment.ran_s(now);
     // Work for idle hours makes way before that of owners who wait for it.
     const auto above_low = static_cast<double>(spec.priority) - static_cast<double>(wire::Priority::low);
-    victims.push_back({lost_s + constants::kPreemptionPriorityCost * above_low, task});
+    victims.push_back({lost_s + constants::kPreemptionPriorityCostSeconds * above_low, task});
   }
   std::sort(victims.begin(), victims.end(),
             [](const Victim& a, const Victim& b) { return a.cost_s < b.cost_s; });
@@ -127,11 +127,11 @@
 
 bool Preemption::waits_long_enough(const Job& job, Time now) const {
   return job.waiting_tasks() > 0 && now >= job.backoff_until &&
-         now - job.queued_since >= constants::kPreemptionDelay && constraints_.quota_headroom(job) > 0;
+         now - job.queued_since >= constants::kPreemptionDelaySeconds && constraints_.quota_headroom(job) > 0;
 }
 
 void Preemption::run(Time now) {
-  if (now - last_run_at_ < constants::kPreemptionInterval) return;
+  if (now - last_run_at_ < constants::kPreemptionIntervalSeconds) return;
   last_run_at_ = now;
   const auto lowest = lowest_assigned_priority();
   std::optional<std::vector<Machine*>> machines;  // found when the first job needs them
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -17,7 +17,7 @@
  public:
   Preemption(ClusterState& state, const SchedulingConstraints& constraints, JobQueue& queue);
 
-  // Makes room for waiting jobs. At most once in `kPreemptionInterval`.
+  // Makes room for waiting jobs. At most once in `kPreemptionIntervalSeconds`.
   void run(Time now);
 
  private:
--- a/src/core/reconciler.cpp
+++ b/src/core/reconciler.cpp
@@ -215,12 +215,12 @@
         health_.record_failure(job, machine, now);
       break;
     case ExitCause::no_room:
-      machine.assignments_paused_until = now + constants::kNoCapacityBackoff;
+      machine.assignments_paused_until = now + constants::kNoCapacityBackoffSeconds;
       break;
     case ExitCause::unknown_job:
       ++job.failures;
-      job.backoff_until =
-          now + std::min(constants::kErrorBackoffMax, constants::kErrorBackoffInitial * job.failures);
+      job.backoff_until = now + std::min(constants::kMaxErrorBackoffSeconds,
+                                         constants::kInitialErrorBackoffSeconds * job.failures);
       break;
     case ExitCause::stopped:
     case ExitCause::busy:
--- a/src/core/run_time_estimator.cpp
+++ b/src/core/run_time_estimator.cpp
@@ -10,8 +10,8 @@
 void RunTimeEstimator::observe(const std::string& job_class, double estimated_run_s, double run_s) {
   if (estimated_run_s <= 0 || run_s <= 0) return;
   // In logarithms, since half and double are errors of the same size.
-  const double ratio = std::log(std::clamp(run_s / estimated_run_s, constants::kEstimateCorrectionMin,
-                                           constants::kEstimateCorrectionMax));
+  const double ratio = std::log(std::clamp(run_s / estimated_run_s, constants::kMinEstimateCorrectionFactor,
+                                           constants::kMaxEstimateCorrectionFactor));
   double& known = log_ratio_[job_class];
   known += constants::kEstimateLearningRate * (ratio - known);
 }
--- a/src/core/scale_out_requests.cpp
+++ b/src/core/scale_out_requests.cpp
@@ -36,7 +36,8 @@
   pending_.erase(found);
   const InstanceOffering offering = offering_of(pending.request);
   if (machines < pending.request.count) {
-    backoffs_[offering] = {now + constants::kOfferingBackoffInitial, constants::kOfferingBackoffInitial};
+    backoffs_[offering] = {now + constants::kInitialOfferingBackoffSeconds,
+                           constants::kInitialOfferingBackoffSeconds};
   } else {
     backoffs_.erase(offering);
   }
@@ -47,8 +48,9 @@
   auto found = pending_.find(id);
   if (found == pending_.end()) return;
   OfferingBackoff& backoff = backoffs_[offering_of(found->second.request)];
-  backoff.delay_s = backoff.delay_s == 0 ? constants::kOfferingBackoffInitial
-                                         : std::min(constants::kOfferingBackoffMax, 2 * backoff.delay_s);
+  backoff.delay_s = backoff.delay_s == 0
+                        ? constants::kInitialOfferingBackoffSeconds
+                        : std::min(constants::kMaxOfferingBackoffSeconds, 2 * backoff.delay_s);
   backoff.until = now + backoff.delay_s;
   pending_.erase(found);
 }
--- a/src/core/scarce_types.cpp
+++ b/src/core/scarce_types.cpp
@@ -18,7 +18,7 @@
   scarce_.clear();
   for (const auto& queued : queue_.ordered(now)) {
     const Job& job = *queued.job;
-    if (now < job.backoff_until || now - job.queued_since < constants::kScaleOutDelay) continue;
+    if (now < job.backoff_until || now - job.queued_since < constants::kScaleOutDelaySeconds) continue;
     const auto& types = job.compatible_types;
     if (std::count(types.begin(), types.end(), true) != 1) continue;
     const auto type = static_cast<std::size_t>(std::find(types.begin(), types.end(), true) - types.begin());
--- a/src/core/scheduling_constraints.cpp
+++ b/src/core/scheduling_constraints.cpp
@@ -9,7 +9,7 @@
 
 bool SchedulingConstraints::silent(const Machine& machine, Time now) const {
   return now - machine.last_heartbeat_at >
-         constants::kSilentAfterHeartbeats * state_.config().heartbeat_interval_s;
+         constants::kUnresponsiveIntervalFactor * state_.config().heartbeat_interval_s;
 }
 
 bool SchedulingConstraints::boots_late(const Machine& machine, Time now) const {
@@ -20,7 +20,7 @@
 bool SchedulingConstraints::accepts_work(const Machine& machine, Time now) const {
   return machine.state == MachineState::up && machine.token_acknowledged && !machine.draining &&
          !machine.scale_in_requested && !machine.terminates_at && !machine.runs_unknown_tasks &&
-         machine.failed_jobs.size() < constants::kFaultyMachineJobs &&
+         machine.failed_jobs.size() < constants::kFaultyMachineJobThreshold &&
          machine.undelivered_responses < constants::kUndeliveredResponsesThreshold &&
          now >= machine.assignments_paused_until && !silent(machine, now);
 }
--- a/src/core/task_log.cpp
+++ b/src/core/task_log.cpp
@@ -52,9 +52,9 @@
   if (unpersisted_jobs_.empty() || in_flight_ >= constants::kMaxSegmentsInFlight) return std::nullopt;
   // A segment costs its own write and later that of its deletion; the rest of the leader's writes is for
   // others.
-  const double leader_rate = state_.config().write_rps * constants::kLeaderRateShare;
+  const double leader_rate = state_.config().write_rps * constants::kLeaderRateFraction;
   const double spacing = constants::kWritesPerSegment / leader_rate;
-  double wait = constants::kHousekeepingInterval;
+  double wait = constants::kHousekeepingIntervalSeconds;
   if (segment_requested_) wait = last_was_full_ ? 0 : spacing;
   return std::max(0.0, last_written_at_ + wait - now);
 }
--- a/src/core/task_placer.cpp
+++ b/src/core/task_placer.cpp
@@ -74,7 +74,7 @@
       if (!any_image) gang_scheduler_.assign(job, pass.machines, now);
       continue;
     }
-    const bool waited_for_image = now - job.queued_since >= constants::kImageLocalityDelay;
+    const bool waited_for_image = now - job.queued_since >= constants::kImageLocalityDelaySeconds;
     const std::size_t limit = constants::kMaxAssignmentsPerPass - pass.assigned;
     const std::size_t assigned = assign_job(
         queued, pass.machines, any_image || queued.latency_critical || waited_for_image, limit, now);
@@ -119,7 +119,7 @@
                                    bool any_image, std::size_t limit, Time now) {
   Job& job = *queued.job;
   // A job that failed on every machine in reach starts over with all of them.
-  if (job.failed_machines.size() >= constants::kSuspectJobMachines) job.failed_machines.clear();
+  if (job.failed_machines.size() >= constants::kSuspectJobMachineThreshold) job.failed_machines.clear();
   // Of a starving job the first task is what counts; with the rest it stands in the queue.
   if (queued.starving) limit = std::min<std::size_t>(1, limit);
   limit = std::min(limit, constraints_.quota_headroom(job));
--- a/src/core/worker_commands.cpp
+++ b/src/core/worker_commands.cpp
@@ -106,7 +106,7 @@
         const TaskAssignment& assignment = task.assignment();
         if (assignment.stopping) return true;
         if (task.job->spec.kind == wire::JobKind::service) return false;
-        return assignment.ran_s(now) > constants::kHoldProgressThreshold * task.job->expected_run_s;
+        return assignment.ran_s(now) > constants::kMaxHoldProgressFraction * task.job->expected_run_s;
       });
 }
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -96,7 +96,7 @@
 void Loop::poll_events(Duration limit) {
   // Rounded up: waking a fraction of a millisecond early would only cost another turn.
   const auto wait_ms = std::chrono::ceil<std::chrono::milliseconds>(limit).count();
-  std::array<epoll_event, constants::kMaxEventsPerTurn> events;
+  std::array<epoll_event, constants::kMaxEventsPerIteration> events;
   const int count =
       ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), static_cast<int>(wait_ms));
   now_ = Clock::now();
--- a/src/net/http_parser.cpp
+++ b/src/net/http_parser.cpp
@@ -116,7 +116,7 @@
   const auto line_end = bytes.find('\n');
   const auto part = bytes.substr(0, line_end);
   head_bytes_ += part.size() + 1;
-  if (head_bytes_ > constants::kMaxHeadBytes) {
+  if (head_bytes_ > constants::kMaxHeaderBytes) {
     fail(http_status::kHeaderFieldsTooLarge);
     return 0;
   }
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -79,7 +79,7 @@
 
 int HttpServer::accept_waiting() {
   int accepted = 0;
-  while (accepted < constants::kMaxAcceptsPerTurn) {
+  while (accepted < constants::kMaxAcceptsPerIteration) {
     FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd.valid()) {
       if (errno == EAGAIN || errno == EWOULDBLOCK) listener_readiness_.readable = false;
@@ -108,7 +108,7 @@
 
 bool HttpServer::crowded() const {
   return static_cast<double>(connections_) >
-         constants::kKeepAliveConnectionShare * static_cast<double>(max_connections_);
+         constants::kKeepAliveConnectionFraction * static_cast<double>(max_connections_);
 }
 
 Task<void> HttpServer::serve(Socket socket) {
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -41,7 +41,7 @@
   struct Connection;
 
   Task<void> accept_connections();
-  // Accepts up to kMaxAcceptsPerTurn connections that wait; returns how many those were.
+  // Accepts up to kMaxAcceptsPerIteration connections that wait; returns how many those were.
   int accept_waiting();
   void start_connection(Socket socket);
   Task<void> serve(Socket socket);
--- a/src/peer/peer_client.cpp
+++ b/src/peer/peer_client.cpp
@@ -40,7 +40,7 @@
   names.reserve(jobs.size());
   for (const auto& id : jobs) names.push_back(id.value);
   std::optional<std::string> body =
-      co_await call(transport, leader, kPollPath, encode(names), constants::kLeaderPollTimeout);
+      co_await call(transport, leader, kPollPath, encode(names), constants::kLeaderPollTimeoutSeconds);
   if (!body) co_return std::nullopt;
   auto statuses = decode_polled(*body);
   if (!statuses || statuses->size() != jobs.size()) co_return std::nullopt;
@@ -49,16 +49,16 @@
 
 net::Task<void> notify_cancelled(net::Transport& transport, net::Address controller, JobId job) {
   const std::vector<std::string> jobs{job.value};
-  co_await call(transport, controller, kCancelledPath, encode(jobs), constants::kPeerCallTimeout);
+  co_await call(transport, controller, kCancelledPath, encode(jobs), constants::kPeerCallTimeoutSeconds);
 }
 
 net::Task<void> notify_write_limit(net::Transport& transport, net::Address controller) {
-  co_await call(transport, controller, kWriteLimitPath, kNoContent, constants::kPeerCallTimeout);
+  co_await call(transport, controller, kWriteLimitPath, kNoContent, constants::kPeerCallTimeoutSeconds);
 }
 
 net::Task<std::optional<PeerStatus>> fetch_status(net::Transport& transport, net::Address controller) {
   std::optional<std::string> body =
-      co_await call(transport, controller, kStatusPath, kNoContent, constants::kPeerCallTimeout);
+      co_await call(transport, controller, kStatusPath, kNoContent, constants::kPeerCallTimeoutSeconds);
   if (!body) co_return std::nullopt;
   co_return decode_status(*body);
 }
--- a/src/peer/peer_messages.hpp
+++ b/src/peer/peer_messages.hpp
@@ -42,7 +42,7 @@
   bool leading = false;
   std::uint64_t token = 0;  // its fencing token; 0 on a follower
   bool state_reachable = false;
-  std::uint64_t recent_heartbeats = 0;  // in the last constants::kHeartbeatCountWindow seconds
+  std::uint64_t recent_heartbeats = 0;  // in the last constants::kHeartbeatCountWindowSeconds seconds
 };
 
 // A ForwardedRequest; the response is a ForwardedResponse.
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -27,11 +27,11 @@
       leadership_ended_(loop) {}
 
 net::TimePoint Election::call_deadline() const {
-  return loop_.now() + net::seconds(constants::kStateCallTimeout);
+  return loop_.now() + net::seconds(constants::kStateCallTimeoutSeconds);
 }
 
 net::Loop::Sleep Election::retry_delay() const {
-  return loop_.sleep(net::seconds(constants::kElectionRetryInterval));
+  return loop_.sleep(net::seconds(constants::kElectionRetryIntervalSeconds));
 }
 
 net::Task<void> Election::run() {
@@ -53,7 +53,7 @@
 
 void Election::resign(LeadershipEnd reason) {
   if (!leadership_) return;
-  abstain_until_ = loop_.now() + net::seconds(constants::kLeadershipTransferAbstention);
+  abstain_until_ = loop_.now() + net::seconds(constants::kCampaignPauseAfterTransferSeconds);
   spawn(state_.revoke(leadership_->lease));
   step_down(reason);
 }
@@ -83,7 +83,7 @@
 net::Task<void> Election::watch_leader_key(Revision seen) {
   for (;;) {
     Result<wire::KeyEvents> changes =
-        co_await state_.watch(kLeaderKey, seen, constants::kFollowerWatchTimeout);
+        co_await state_.watch(kLeaderKey, seen, constants::kFollowerWatchTimeoutSeconds);
     if (!changes) co_await retry_delay();
     // Changed or unclear: the caller reads the key again.
     if (!changes || !changes.value.events.empty()) co_return;
@@ -150,7 +150,7 @@
   }
   // An outage is no reason to step down: every lease has its full time again after it (PROTOCOL, "Outages and
   // cuts").
-  co_await leadership_ended_.wait_for(net::seconds(constants::kLeaseRenewalInterval));
+  co_await leadership_ended_.wait_for(net::seconds(constants::kLeaseRenewalIntervalSeconds));
 }
 
 }  // namespace dockdyke::store
--- a/src/store/election.hpp
+++ b/src/store/election.hpp
@@ -47,7 +47,7 @@
   // follower.
   void step_down(LeadershipEnd reason);
   // Ends the leadership and its lease so that another controller is elected, and does not campaign for
-  // kLeadershipTransferAbstention seconds. Without effect for a follower.
+  // kCampaignPauseAfterTransferSeconds seconds. Without effect for a follower.
   void resign(LeadershipEnd reason);
   bool leading() const { return leadership_.has_value(); }
 
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -73,7 +73,7 @@
       transport_(transport),
       service_(service),
       limits_(loop, limits),
-      reachability_(loop, constants::kStateUnreachableAfter) {}
+      reachability_(loop, constants::kStateUnreachableAfterSeconds) {}
 
 void StateClient::record_answer(const ServiceReply& reply) {
   // A refusal for the rate does not help the caller, but only a service that works gives it.
@@ -95,7 +95,7 @@
   ServiceRequest request{"GET", wire::path::key(key), {}};
   const bool acquired = co_await limits_.requests().acquire(1, RequestPriority::normal, deadline);
   if (!acquired) co_return not_sent<wire::KeyValue>(Outcome::refused, std::move(request));
-  const auto timeout = std::min(net::seconds(constants::kStateCallTimeout), deadline - loop_.now());
+  const auto timeout = std::min(net::seconds(constants::kStateCallTimeoutSeconds), deadline - loop_.now());
   ServiceReply reply = co_await call(std::move(request), timeout);
   co_return parse_reply_of_state_service<wire::KeyValue>(std::move(reply), wire::parse_key_value);
 }
@@ -117,10 +117,10 @@
 
 net::Task<Result<wire::KeyPage>> StateClient::list_page(std::string prefix, std::string after) {
   ServiceRequest request{"GET", wire::path::key_page(prefix, after, constants::kListPageSize), {}};
-  const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
   const bool acquired = co_await limits_.requests().acquire(1, RequestPriority::high, deadline);
   if (!acquired) co_return not_sent<wire::KeyPage>(Outcome::refused, std::move(request));
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeout));
+  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
   co_return parse_reply_of_state_service<wire::KeyPage>(std::move(reply), wire::parse_key_page);
 }
 
@@ -135,7 +135,7 @@
   if (acquired) acquired = co_await limits_.requests().acquire(1, priority, deadline);
   if (!acquired) co_return not_sent<Committed>(Outcome::refused, std::move(request));
   request.body = wire::encode(wire::to_json(transaction));
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeout));
+  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
   if (over_rate_limit(reply) && changes > 0) limits_.record_write_refusal();
   if (outcome_of(reply) == Outcome::conflict) co_return conflict(std::move(reply));
   co_return parse_reply_of_state_service<Committed>(std::move(reply), parse_committed);
@@ -144,33 +144,34 @@
 net::Task<Result<wire::KeyEvents>> StateClient::watch(std::string prefix, Revision after, double timeout_s) {
   const auto timeout_ms = static_cast<std::uint64_t>(timeout_s * kMillisecondsPerSecond);
   ServiceRequest request{"GET", wire::path::watch(prefix, after, timeout_ms), {}};
-  const auto deadline = loop_.now() + net::seconds(constants::kRateLimitWaitTimeout);
+  const auto deadline = loop_.now() + net::seconds(constants::kRateLimitWaitTimeoutSeconds);
   const bool acquired = co_await limits_.requests().acquire(1, RequestPriority::high, deadline);
   if (!acquired) co_return not_sent<wire::KeyEvents>(Outcome::refused, std::move(request));
   // The service holds the response back for `timeout_s`; the usual time for a call comes on top.
   ServiceReply reply =
-      co_await call(std::move(request), net::seconds(timeout_s + constants::kStateCallTimeout));
+      co_await call(std::move(request), net::seconds(timeout_s + constants::kStateCallTimeoutSeconds));
   co_return parse_reply_of_state_service<wire::KeyEvents>(std::move(reply), wire::parse_key_events);
 }
 
 net::Task<Result<LeaseId>> StateClient::grant(std::uint64_t ttl_ms) {
   limits_.requests().acquire_immediately(1);
   ServiceRequest request{"POST", std::string(wire::path::kLeases), wire::encode(wire::lease_request(ttl_ms))};
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeout));
+  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
   co_return parse_reply_of_state_service<LeaseId>(std::move(reply), wire::parse_lease);
 }
 
 net::Task<Outcome> StateClient::renew(LeaseId lease) {
   limits_.requests().acquire_immediately(1);
   ServiceRequest request{"POST", wire::path::lease_renewal(lease), {}};
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kLeaseRenewalTimeout));
+  ServiceReply reply =
+      co_await call(std::move(request), net::seconds(constants::kLeaseRenewalTimeoutSeconds));
   co_return outcome_of(reply);
 }
 
 net::Task<void> StateClient::revoke(LeaseId lease) {
   limits_.requests().acquire_immediately(1);
   ServiceRequest request{"DELETE", wire::path::lease(lease), {}};
-  co_await call(std::move(request), net::seconds(constants::kLeaseRenewalTimeout));
+  co_await call(std::move(request), net::seconds(constants::kLeaseRenewalTimeoutSeconds));
 }
 
 }  // namespace dockdyke::store
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -62,7 +62,7 @@
   net::Task<Result<wire::KeyPage>> list(std::string prefix);
 
   // Commits a compare-and-swap transaction. The deadline bounds the wait for the rate limiter; the call
-  // itself has kStateCallTimeout. Outcome::conflict names the failed preconditions in the value.
+  // itself has kStateCallTimeoutSeconds. Outcome::conflict names the failed preconditions in the value.
   net::Task<Result<Committed>> commit(wire::Transaction transaction, RequestPriority priority,
                                       net::TimePoint deadline);
 
@@ -79,7 +79,8 @@
   // Ends a lease at once. Not repeated on failure, since the lease also expires by itself.
   net::Task<void> revoke(LeaseId lease);
 
-  // True when calls have been failing for kStateUnreachableAfter seconds and none has been answered since.
+  // True when calls have been failing for kStateUnreachableAfterSeconds seconds and none has been answered
+  // since.
   bool unreachable() const { return reachability_.unreachable(); }
 
   // True while so many calls queue in the rate limiter that callers should take on no more work.
--- a/src/store/state_rate_limits.cpp
+++ b/src/store/state_rate_limits.cpp
@@ -26,7 +26,7 @@
 
 void StateRateLimits::record_write_refusal() {
   if (write_limit_lowered_) return;
-  const auto window = net::seconds(constants::kRateLimitRefusalWindow);
+  const auto window = net::seconds(constants::kRateLimitRefusalWindowSeconds);
   recent_write_refusals_.push_back(loop_.now());
   while (loop_.now() - recent_write_refusals_.front() > window) recent_write_refusals_.pop_front();
   if (recent_write_refusals_.size() < constants::kRateLimitRefusalThreshold) return;
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -45,7 +45,7 @@
 }
 
 bool is_valid_name(const std::string& text) {
-  return !text.empty() && text.size() <= constants::kMaxNameLength;
+  return !text.empty() && text.size() <= constants::kMaxNameBytes;
 }
 
 std::string parse_name(const Json& value) {
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -31,7 +31,7 @@
 std::string require_text(const Json& map, const char* field);
 std::optional<std::string> optional_text(const Json& map, const char* field);
 
-// A name: text of 1 to constants::kMaxNameLength bytes.
+// A name: text of 1 to constants::kMaxNameBytes bytes.
 std::string require_name(const Json& map, const char* field);
 std::optional<std::string> optional_name(const Json& map, const char* field);
 
--- a/tests/app/cancellation_log_test.cpp
+++ b/tests/app/cancellation_log_test.cpp
@@ -46,12 +46,12 @@
   std::vector<core::CancellationReport> reports(4100, stop_sent);
   reports.push_back(at_risk);
   log_.write(reports);
-  EXPECT_EQ(lines_with("event=cancelled_task_stop_sent"), constants::kMaxCancellationLines);
+  EXPECT_EQ(lines_with("event=cancelled_task_stop_sent"), constants::kMaxCancellationLogLines);
   EXPECT_EQ(lines_with("event=cancellation_at_risk"), 1u);
   log_.write_summary({});
   EXPECT_EQ(lines_with("suppressed_lines=4050"), 1u);
   log_.write(std::vector{stop_sent});
-  EXPECT_EQ(lines_with("event=cancelled_task_stop_sent"), constants::kMaxCancellationLines + 1);
+  EXPECT_EQ(lines_with("event=cancelled_task_stop_sent"), constants::kMaxCancellationLogLines + 1);
 }
 
 }  // namespace dockdyke::testing
--- a/tests/app/controller_test.cpp
+++ b/tests/app/controller_test.cpp
@@ -345,7 +345,7 @@
   ASSERT_TRUE(until([&] { return next.leader() == "dyke-0"; }));
   heartbeat(unreachable, 1, 0);
   const auto heard = net::Clock::now();
-  until([&] { return net::Clock::now() - heard > net::seconds(constants::kHeartbeatSilenceMin + 1); });
+  until([&] { return net::Clock::now() - heard > net::seconds(constants::kMinHeartbeatGapSeconds + 1); });
   EXPECT_TRUE(unreachable.leading())
       << "a fleet that is silent as a whole is no better off with another leader";
   std::uint64_t sequence_number = 1;
--- a/tests/core/failure_detector_test.cpp
+++ b/tests/core/failure_detector_test.cpp
@@ -40,7 +40,7 @@
 
   bool deletion_requested() { return !seen<RequestScaleIn>().empty(); }
 
-  static constexpr double kReserveS = constants::kCancellationReserveMax;
+  static constexpr double kReserveS = constants::kMaxCancellationReserveSeconds;
   const double timeout_s = cluster_config().cancellation_timeout_s;
   Worker worker{.name = "n-1", .token = kToken - 10};
 };
--- a/tests/core/gang_bin_packing_test.cpp
+++ b/tests/core/gang_bin_packing_test.cpp
@@ -1,4 +1,4 @@
-// The choice of machines for all tasks of a gang.
+// Tests of the selection of machines for all tasks of a gang.
 #include "core/gang_bin_packing.hpp"
 
 #include <gtest/gtest.h>
@@ -11,46 +11,50 @@
 
 class GangBinPackingTest : public ::testing::Test {
  protected:
-  static constexpr std::size_t kAnyZone = std::numeric_limits<std::size_t>::max();
+  static constexpr std::size_t kNoZoneLimit = std::numeric_limits<std::size_t>::max();
 
-  static Machine machine(const std::string& id, const std::string& zone = "a") {
-    Machine out;
-    out.id = MachineId(id);
-    out.zone = zone;
-    return out;
+  static Machine make_machine(const std::string& id, const std::string& zone = "a") {
+    Machine machine;
+    machine.id = MachineId(id);
+    machine.zone = zone;
+    return machine;
   }
 
-  Machine one = machine("n-1");
-  Machine two = machine("n-2");
-  Machine three = machine("n-3", "b");
+  Machine machine_1 = make_machine("n-1");
+  Machine machine_2 = make_machine("n-2");
+  Machine machine_3 = make_machine("n-3", "b");
 };
 
-TEST_F(GangBinPackingTest, NoneIsChosenWhereNotAllTasksFit) {
-  const auto choice = choose_machines({{&one, 0, 0, 2}, {&two, 0, 0, 1}}, 4, kAnyZone);
-  EXPECT_TRUE(choice.shares.empty());
+TEST_F(GangBinPackingTest, ReturnsNoMachinesWhenGangDoesNotFit) {
+  const auto placement = choose_machines({{&machine_1, 0, 0, 2}, {&machine_2, 0, 0, 1}}, 4, kNoZoneLimit);
+  EXPECT_TRUE(placement.machine_tasks.empty());
 }
 
-TEST_F(GangBinPackingTest, MachinesThatHaveTheImageComeBeforeThoseThatHoldMore) {
-  const auto choice = choose_machines({{&one, 5, 0, 4}, {&two, 0, 9, 2}, {&three, 0, 0, 2}}, 4, kAnyZone);
-  ASSERT_EQ(choice.shares.size(), 2u);
-  EXPECT_EQ(choice.shares[0].machine, &three) << "the cheaper of two that are alike";
-  EXPECT_EQ(choice.shares[1].machine, &two);
-  EXPECT_EQ(choice.rank.slowest_fetch_s, 0);
+TEST_F(GangBinPackingTest, PrefersEarlierStartOverLargerCapacity) {
+  const auto placement =
+      choose_machines({{&machine_1, 5, 0, 4}, {&machine_2, 0, 9, 2}, {&machine_3, 0, 0, 2}}, 4, kNoZoneLimit);
+  ASSERT_EQ(placement.machine_tasks.size(), 2u);
+  EXPECT_EQ(placement.machine_tasks[0].machine, &machine_3)
+      << "the cheaper of two otherwise equal machines comes first";
+  EXPECT_EQ(placement.machine_tasks[1].machine, &machine_2);
+  EXPECT_EQ(placement.rank.start_delay_s, 0);
 }
 
-TEST_F(GangBinPackingTest, FewMachinesArePreferredWhenTheyStartAtTheSameTime) {
-  const auto choice = choose_machines({{&one, 0, 0, 1}, {&two, 0, 5, 3}, {&three, 0, 0, 1}}, 3, kAnyZone);
-  ASSERT_EQ(choice.shares.size(), 1u);
-  EXPECT_EQ(choice.shares[0].machine, &two);
-  EXPECT_EQ(choice.shares[0].tasks, 3u);
+TEST_F(GangBinPackingTest, PrefersFewerMachinesWhenStartDelaysAreEqual) {
+  const auto placement =
+      choose_machines({{&machine_1, 0, 0, 1}, {&machine_2, 0, 5, 3}, {&machine_3, 0, 0, 1}}, 3, kNoZoneLimit);
+  ASSERT_EQ(placement.machine_tasks.size(), 1u);
+  EXPECT_EQ(placement.machine_tasks[0].machine, &machine_2);
+  EXPECT_EQ(placement.machine_tasks[0].tasks, 3u);
 }
 
-TEST_F(GangBinPackingTest, NoZoneGetsMoreThanItsShare) {
-  const auto choice = choose_machines({{&one, 0, 0, 4}, {&two, 0, 0, 4}, {&three, 0, 0, 4}}, 4, 2);
-  ASSERT_EQ(choice.shares.size(), 2u);
-  for (const auto& share : choice.shares) EXPECT_EQ(share.tasks, 2u);
-  EXPECT_NE(choice.shares[0].machine->zone, choice.shares[1].machine->zone);
-  EXPECT_TRUE(choose_machines({{&one, 0, 0, 4}, {&two, 0, 0, 4}}, 4, 2).shares.empty());
+TEST_F(GangBinPackingTest, LimitsTasksPerZone) {
+  const auto placement =
+      choose_machines({{&machine_1, 0, 0, 4}, {&machine_2, 0, 0, 4}, {&machine_3, 0, 0, 4}}, 4, 2);
+  ASSERT_EQ(placement.machine_tasks.size(), 2u);
+  for (const auto& placed : placement.machine_tasks) EXPECT_EQ(placed.tasks, 2u);
+  EXPECT_NE(placement.machine_tasks[0].machine->zone, placement.machine_tasks[1].machine->zone);
+  EXPECT_TRUE(choose_machines({{&machine_1, 0, 0, 4}, {&machine_2, 0, 0, 4}}, 4, 2).machine_tasks.empty());
 }
 
 }  // namespace dockdyke::testing
--- a/tests/core/gang_capacity_reserve_test.cpp
+++ b/tests/core/gang_capacity_reserve_test.cpp
@@ -1,4 +1,4 @@
-// Room that is held for gangs to come.
+// Tests of the capacity that is held for expected gangs.
 #include "core/gang_capacity_reserve.hpp"
 
 #include "cluster_fixture.hpp"
@@ -18,7 +18,7 @@
   return spec;
 }
 
-ClusterConfig quick_class() {
+ClusterConfig config_with_start_objective() {
   auto config = cluster_config();
   config.objectives = {{ServiceLevelObjective::Kind::start, "quick", 5, 1}};
   return config;
@@ -26,63 +26,65 @@
 
 }  // namespace
 
-TEST(GangCapacityReserve, GrowsWithTheRootOfWhatCameAndEndsWhenNothingComes) {
+TEST(GangCapacityReserve, ExpectsSquareRootOfRecentArrivalsUntilTheyExpire) {
   GangCapacityReserve reserve;
-  EXPECT_TRUE(reserve.expected(40, 0).empty());
-  for (int i = 0; i < 9; ++i) reserve.note_arrival(gang_spec("job-1", i == 4 ? 6 : 2), 100 + i);
-  const auto expected = reserve.expected(40, 110);
+  EXPECT_TRUE(reserve.expected_gangs(40, 0).empty());
+  for (int i = 0; i < 9; ++i) reserve.record_arrival(gang_spec("job-1", i == 4 ? 6 : 2), 100 + i);
+  const auto expected = reserve.expected_gangs(40, 110);
   ASSERT_EQ(expected.size(), 1u);
-  EXPECT_EQ(expected[0].gangs, 3u);
-  EXPECT_EQ(expected[0].largest.task_count, 6u);
-  EXPECT_EQ(reserve.expected(40, 200).at(0).gangs, 1u) << "none within the window, some within memory";
-  EXPECT_TRUE(reserve.expected(40, 109 + constants::kGangArrivalMemory).empty());
+  EXPECT_EQ(expected[0].count, 3u);
+  EXPECT_EQ(expected[0].largest_gang.task_count, 6u);
+  EXPECT_EQ(reserve.expected_gangs(40, 200).at(0).count, 1u)
+      << "all arrivals precede the boot time window but have not expired";
+  EXPECT_TRUE(reserve.expected_gangs(40, 109 + constants::kGangArrivalWindowSeconds).empty());
 }
 
 class GangReserveTest : public ClusterTest {
  protected:
-  GangReserveTest() : ClusterTest(quick_class()) {}
+  GangReserveTest() : ClusterTest(config_with_start_objective()) {}
 };
 
-TEST_F(GangReserveTest, RoomIsRentedForTheNextGangOnceOneHasCome) {
+TEST_F(GangReserveTest, ScalesOutForNextGangAfterArrival) {
   loaded();
-  auto one = ready_worker("n-1", "a", false);
+  auto worker_1 = ready_worker("n-1", "a", false);
   submit(gang_spec("job-1"));
   settle();
-  ASSERT_EQ(count(answer(one), CommandKind::start), 2u);
+  ASSERT_EQ(count(answer(worker_1), CommandKind::start), 2u);
   pass(2);
-  std::uint64_t rented = 0;
-  for (const auto& rent : seen<RequestScaleOut>()) rented += rent.request.count;
-  EXPECT_EQ(rented, 1u);
+  std::uint64_t requested_machines = 0;
+  for (const auto& scale_out : seen<RequestScaleOut>()) requested_machines += scale_out.request.count;
+  EXPECT_EQ(requested_machines, 1u);
 }
 
-TEST_F(GangReserveTest, OtherWorkStaysOffItForAWhileAndNotForLonger) {
+TEST_F(GangReserveTest, OtherJobsUseReserveOnlyAfterWaiting) {
   loaded();
-  auto one = ready_worker("n-1", "a", false);
-  auto two = ready_worker("n-2", "a", false);
+  auto worker_1 = ready_worker("n-1", "a", false);
+  auto worker_2 = ready_worker("n-2", "a", false);
   submit(gang_spec("job-1"));
   settle();
-  for (auto* worker : {&one, &two})
+  for (auto* worker : {&worker_1, &worker_2})
     for (const auto& command : answer(*worker))
       worker->shows(command.task.job.value, command.task.index, command.attempt, wire::TaskState::running);
   pass(1);
-  auto other = job_spec("job-2", 8, 4);
-  submit(other);
-  const auto starts_of_other = [&] {
+  auto other_job = job_spec("job-2", 8, 4);
+  submit(other_job);
+  const auto count_other_job_starts = [&] {
     std::size_t starts = 0;
-    for (auto* worker : {&one, &two})
+    for (auto* worker : {&worker_1, &worker_2})
       for (const auto& command : exchange(*worker))
-        starts += command.kind == CommandKind::start && command.task.job == other.id;
+        starts += command.kind == CommandKind::start && command.task.job == other_job.id;
     return starts;
   };
-  const double began = now;
-  std::size_t early = 0;
-  std::size_t late = 0;
-  while (now - began < constants::kGangReserveWait + 15) {
+  const double started_at = now;
+  std::size_t early_starts = 0;
+  std::size_t late_starts = 0;
+  while (now - started_at < constants::kGangReserveWaitSeconds + 15) {
     pass(1);
-    (now - began < constants::kGangReserveWait ? early : late) += starts_of_other();
+    (now - started_at < constants::kGangReserveWaitSeconds ? early_starts : late_starts) +=
+        count_other_job_starts();
   }
-  EXPECT_EQ(early, 0u);
-  EXPECT_GT(late, 0u) << "nobody waits for ever beside held room";
+  EXPECT_EQ(early_starts, 0u);
+  EXPECT_GT(late_starts, 0u) << "other jobs must not starve beside the reserve";
 }
 
 }  // namespace dockdyke::testing
--- a/tests/core/gang_scheduling_test.cpp
+++ b/tests/core/gang_scheduling_test.cpp
@@ -1,4 +1,4 @@
-// Gangs in the pure core: what is started when, and what proves that the next attempt may begin.
+// Tests of gang scheduling in the state machine: when tasks start, and when the next attempt may begin.
 #include "cluster_fixture.hpp"
 
 namespace dockdyke::testing {
@@ -22,362 +22,365 @@
  protected:
   explicit GangTest(ClusterConfig config = cluster_config()) : ClusterTest(std::move(config)) {}
 
-  // Two ordinary machines, each with room for one task of eight CPUs, that wait for their answers.
-  void two_machines() {
+  // Adds two on-demand machines, each with capacity for one task of eight CPUs, that await responses.
+  void add_two_workers() {
     loaded();
-    one = ready_worker("n-1", "a", false);
-    two = ready_worker("n-2", "a", false);
+    worker_1 = ready_worker("n-1", "a", false);
+    worker_2 = ready_worker("n-2", "a", false);
   }
-  // A gang of two that runs, one task on each machine.
-  void running_gang() {
-    two_machines();
+  // Starts a gang of two tasks, one on each machine.
+  void start_gang() {
+    add_two_workers();
     submit(gang_spec("job-1", 2));
     settle();
-    ASSERT_EQ(count(answer(one), CommandKind::start), 1u);
-    ASSERT_EQ(count(answer(two), CommandKind::start), 1u);
-    show(one, TaskState::running);
-    show(two, TaskState::running);
-    exchange(one);
-    exchange(two);
+    ASSERT_EQ(count(answer(worker_1), CommandKind::start), 1u);
+    ASSERT_EQ(count(answer(worker_2), CommandKind::start), 1u);
+    set_task_state(worker_1, TaskState::running);
+    set_task_state(worker_2, TaskState::running);
+    exchange(worker_1);
+    exchange(worker_2);
   }
-  // Three tasks, each as large as a machine, and no machine yet.
-  void submit_gang_bound_to_one_zone() {
+  // Submits a gang of three tasks, each as large as a machine, while there are no machines.
+  void submit_same_zone_gang() {
     loaded();
     auto spec = gang_spec("job-1", 3);
     spec.same_zone = true;
     submit(spec);
   }
-  std::map<std::string, std::uint64_t> rented_by_zone() {
-    std::map<std::string, std::uint64_t> rented;
-    for (const auto& rent : seen<RequestScaleOut>()) rented[rent.request.zone] += rent.request.count;
-    return rented;
+  std::map<std::string, std::uint64_t> requested_machines_by_zone() {
+    std::map<std::string, std::uint64_t> machines;
+    for (const auto& scale_out : seen<RequestScaleOut>())
+      machines[scale_out.request.zone] += scale_out.request.count;
+    return machines;
   }
-  // What the worker shows of its task of the gang's attempt.
-  void show(Worker& worker, TaskState state, ExitCause cause = ExitCause::none, Attempt attempt = 1) {
+  // Sets the state of the gang's task in the worker's next heartbeats.
+  void set_task_state(Worker& worker, TaskState state, ExitCause cause = ExitCause::none,
+                      Attempt attempt = 1) {
     worker.tasks.clear();
-    worker.shows("job-1", index_on(worker), attempt, state, cause);
+    worker.shows("job-1", task_index_on(worker), attempt, state, cause);
   }
-  TaskIndex index_on(const Worker& worker) const { return worker.name == "n-1" ? 0 : 1; }
+  TaskIndex task_index_on(const Worker& worker) const { return worker.name == "n-1" ? 0 : 1; }
 
-  Worker one;
-  Worker two;
+  Worker worker_1;
+  Worker worker_2;
 };
 
-TEST_F(GangTest, IsPlacedOnlyWhenAllItsTasksFitAtOnce) {
-  two_machines();
+TEST_F(GangTest, PlacedOnlyWhenAllTasksFit) {
+  add_two_workers();
   submit(gang_spec("job-1", 3));
   settle();
-  EXPECT_EQ(count(answer(one), CommandKind::start), 0u);
-  EXPECT_EQ(count(answer(two), CommandKind::start), 0u);
-  EXPECT_TRUE(cluster.job(JobId("job-1"))->assignments.empty()) << "no halves are held";
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start), 0u);
+  EXPECT_EQ(count(answer(worker_2), CommandKind::start), 0u);
+  EXPECT_TRUE(cluster.job(JobId("job-1"))->assignments.empty()) << "no partial assignment is kept";
 }
 
-TEST_F(GangTest, HasOneAttemptNumberForAllItsTasks) {
-  two_machines();
+TEST_F(GangTest, AllTasksShareOneAttemptNumber) {
+  add_two_workers();
   submit(gang_spec("job-1", 2));
   settle();
-  const auto first = answer(one);
-  const auto second = answer(two);
-  ASSERT_EQ(count(first, CommandKind::start), 1u);
-  ASSERT_EQ(count(second, CommandKind::start), 1u);
-  EXPECT_EQ(first.at(0).attempt, second.at(0).attempt);
+  const auto commands_1 = answer(worker_1);
+  const auto commands_2 = answer(worker_2);
+  ASSERT_EQ(count(commands_1, CommandKind::start), 1u);
+  ASSERT_EQ(count(commands_2, CommandKind::start), 1u);
+  EXPECT_EQ(commands_1.at(0).attempt, commands_2.at(0).attempt);
 }
 
-TEST_F(GangTest, IsOnRecordWithAllItsMachinesBeforeTheFirstStart) {
-  two_machines();
+TEST_F(GangTest, RecordIsDurableBeforeFirstStart) {
+  add_two_workers();
   store_answers = false;
   submit(gang_spec("job-1", 2));
   settle();
-  const auto save = cluster.next_write(now);
-  ASSERT_TRUE(save);
-  EXPECT_EQ(save->transaction.puts.at(0).key, "gang/job-1/1/0");
+  const auto write = cluster.next_write(now);
+  ASSERT_TRUE(write);
+  EXPECT_EQ(write->transaction.puts.at(0).key, "gang/job-1/1/0");
   EXPECT_EQ(cluster.response_hold(MachineId("n-1"), now), ResponseHold::awaiting_write);
-  EXPECT_EQ(count(answer(one), CommandKind::start), 0u) << "not on record yet";
-  cluster.apply(WriteApplied{save->number}, now);
-  EXPECT_EQ(count(answer(two), CommandKind::start), 1u);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start), 0u) << "the record is not durable yet";
+  cluster.apply(WriteApplied{write->number}, now);
+  EXPECT_EQ(count(answer(worker_2), CommandKind::start), 1u);
 }
 
-class GangInPartsTest : public GangTest {
+class GangMultiPartRecordTest : public GangTest {
  protected:
   static ClusterConfig config_with_small_values() {
     auto config = cluster_config();
-    config.max_value_bytes = 256 + 70;  // one machine a part, beside the margin
+    config.max_value_bytes = 256 + 70;  // one machine per part, plus the margin
     return config;
   }
-  GangInPartsTest() : GangTest(config_with_small_values()) {}
+  GangMultiPartRecordTest() : GangTest(config_with_small_values()) {}
 };
 
-TEST_F(GangInPartsTest, NothingStartsBeforeTheLastPartIsStored) {
-  two_machines();
+TEST_F(GangMultiPartRecordTest, StartsOnlyAfterLastPartIsStored) {
+  add_two_workers();
   store_answers = false;
   submit(gang_spec("job-1", 2));
   settle();
-  const auto first = cluster.next_write(now);
-  const auto second = cluster.next_write(now);
-  ASSERT_TRUE(first && second);
-  cluster.apply(WriteApplied{second->number}, now);
-  EXPECT_EQ(count(answer(one), CommandKind::start), 0u);
-  heartbeat_only(one);
-  cluster.apply(WriteApplied{first->number}, now);
-  EXPECT_EQ(count(answer(one), CommandKind::start), 1u);
+  const auto first_write = cluster.next_write(now);
+  const auto second_write = cluster.next_write(now);
+  ASSERT_TRUE(first_write && second_write);
+  cluster.apply(WriteApplied{second_write->number}, now);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start), 0u);
+  heartbeat_only(worker_1);
+  cluster.apply(WriteApplied{first_write->number}, now);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start), 1u);
 }
 
-TEST_F(GangTest, AnIncompleteRecordMeansThatNothingWasStartedAndItsNumberIsBurned) {
+TEST_F(GangTest, IncompleteRecordIsDiscardedAndItsAttemptNumberSkipped) {
   cluster.apply(JobLoaded{job_record(gang_spec("job-1", 2)), Revision(40), false}, now);
-  GangPart earlier{
+  GangPart complete_part{
       JobId("job-1"), 3, 0, 1, {{0, 3, MachineId("n-7"), false}, {1, 3, MachineId("n-8"), false}}};
-  GangPart half{JobId("job-1"), 4, 0, 2, {{0, 4, MachineId("n-7"), false}}};
-  cluster.apply(GangPartLoaded{"gang/job-1/3/0", earlier}, now);
-  cluster.apply(GangPartLoaded{"gang/job-1/4/0", half}, now);
-  two_machines();
+  GangPart incomplete_part{JobId("job-1"), 4, 0, 2, {{0, 4, MachineId("n-7"), false}}};
+  cluster.apply(GangPartLoaded{"gang/job-1/3/0", complete_part}, now);
+  cluster.apply(GangPartLoaded{"gang/job-1/4/0", incomplete_part}, now);
+  add_two_workers();
   settle();
-  const auto commands = answer(one);
+  const auto commands = answer(worker_1);
   ASSERT_EQ(count(commands, CommandKind::start), 1u);
   EXPECT_EQ(commands.at(0).attempt, 5u);
 }
 
-TEST_F(GangTest, ANewLeaderKeepsTheAttemptOnRecordUntilItsTasksAreProvedGone) {
+TEST_F(GangTest, NewLeaderKeepsAttemptUntilTasksConfirmedEnded) {
   cluster.apply(JobLoaded{job_record(gang_spec("job-1", 2)), Revision(40), false}, now);
   GangPart part{JobId("job-1"), 3, 0, 1, {{0, 3, MachineId("n-1"), false}, {1, 3, MachineId("n-2"), false}}};
   cluster.apply(GangPartLoaded{"gang/job-1/3/0", part}, now);
   loaded();
-  one = Worker{"n-1", "a", false};
-  two = Worker{"n-2", "a", false};
-  Worker free{"n-3", "a", false};
-  Worker free_too{"n-4", "a", false};
-  for (auto* worker : {&one, &two, &free, &free_too}) exchange(*worker);
-  // n-1 has shown our token and lacks the task; n-2 still has it, and is told to stop.
-  heartbeat_only(one);
-  show(two, TaskState::running, ExitCause::none, 3);
-  heartbeat_only(two);
-  heartbeat_only(free);
-  heartbeat_only(free_too);
-  EXPECT_EQ(count(answer(free), CommandKind::start) + count(answer(free_too), CommandKind::start), 0u);
-  EXPECT_EQ(count(answer(two), CommandKind::stop), 1u);
-  show(two, TaskState::exited, ExitCause::stopped, 3);
-  heartbeat_only(two);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->gang.attempt, 4u) << "the next attempt, once all are gone";
+  worker_1 = Worker{"n-1", "a", false};
+  worker_2 = Worker{"n-2", "a", false};
+  Worker idle_1{"n-3", "a", false};
+  Worker idle_2{"n-4", "a", false};
+  for (auto* worker : {&worker_1, &worker_2, &idle_1, &idle_2}) exchange(*worker);
+  // n-1 has acknowledged the token and lacks the task; n-2 still runs its task and must stop it.
+  heartbeat_only(worker_1);
+  set_task_state(worker_2, TaskState::running, ExitCause::none, 3);
+  heartbeat_only(worker_2);
+  heartbeat_only(idle_1);
+  heartbeat_only(idle_2);
+  EXPECT_EQ(count(answer(idle_1), CommandKind::start) + count(answer(idle_2), CommandKind::start), 0u);
+  EXPECT_EQ(count(answer(worker_2), CommandKind::stop), 1u);
+  set_task_state(worker_2, TaskState::exited, ExitCause::stopped, 3);
+  heartbeat_only(worker_2);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->gang.attempt, 4u)
+      << "the next attempt begins once all tasks have ended";
 }
 
-TEST_F(GangTest, RecordsOfEarlierAttemptsAndOfJobsThatAreOverAreRemoved) {
-  running_gang();
-  show(one, TaskState::exited, ExitCause::peer_lost);
-  show(two, TaskState::exited, ExitCause::peer_lost);
-  exchange(one);
-  heartbeat_only(two);
-  heartbeat_only(one);
+TEST_F(GangTest, RecordsOfPreviousAttemptsAreDeleted) {
+  start_gang();
+  set_task_state(worker_1, TaskState::exited, ExitCause::peer_lost);
+  set_task_state(worker_2, TaskState::exited, ExitCause::peer_lost);
+  exchange(worker_1);
+  heartbeat_only(worker_2);
+  heartbeat_only(worker_1);
   pass(4);
-  std::vector<std::string> removed;
-  for (const auto& each : seen<DeleteKeys>())
-    removed.insert(removed.end(), each.keys.begin(), each.keys.end());
-  EXPECT_NE(std::find(removed.begin(), removed.end(), "gang/job-1/1/0"), removed.end());
-  EXPECT_EQ(std::find(removed.begin(), removed.end(), "gang/job-1/2/0"), removed.end());
+  std::vector<std::string> deleted_keys;
+  for (const auto& deletion : seen<DeleteKeys>())
+    deleted_keys.insert(deleted_keys.end(), deletion.keys.begin(), deletion.keys.end());
+  EXPECT_NE(std::find(deleted_keys.begin(), deleted_keys.end(), "gang/job-1/1/0"), deleted_keys.end());
+  EXPECT_EQ(std::find(deleted_keys.begin(), deleted_keys.end(), "gang/job-1/2/0"), deleted_keys.end());
 }
 
-TEST_F(GangTest, APartThatIsStoredAfterItsJobWasCancelledDoesNotCount) {
-  two_machines();
+TEST_F(GangTest, DoesNotStartWhenRecordWriteConflictsWithCancellation) {
+  add_two_workers();
   store_answers = false;
   submit(gang_spec("job-1", 2));
   settle();
-  const auto save = cluster.next_write(now);
-  ASSERT_TRUE(save);
-  const auto& preconditions = save->transaction.preconditions;
-  ASSERT_TRUE(std::any_of(preconditions.begin(), preconditions.end(), [](const auto& each) {
-    return each.key == "open/job-1";
-  })) << "a copy that is carried out late must find the job open";
-  cluster.apply(WriteConflicted{save->number, {"open/job-1"}}, now);
-  EXPECT_EQ(count(answer(one), CommandKind::start), 0u);
+  const auto write = cluster.next_write(now);
+  ASSERT_TRUE(write);
+  const auto& preconditions = write->transaction.preconditions;
+  ASSERT_TRUE(std::any_of(preconditions.begin(), preconditions.end(), [](const auto& precondition) {
+    return precondition.key == "open/job-1";
+  })) << "a delayed duplicate of the write must fail once the job has ended";
+  cluster.apply(WriteConflicted{write->number, {"open/job-1"}}, now);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start), 0u);
 }
 
-TEST_F(GangTest, ATaskThatIsGoneStopsTheOthersAndTheNextAttemptWaitsForAll) {
-  running_gang();
-  show(one, TaskState::exited, ExitCause::peer_lost);
-  exchange(one);
-  one.tasks.clear();
-  heartbeat_only(one);
-  EXPECT_EQ(count(answer(one), CommandKind::start), 0u) << "the other task is not proved gone";
-  const auto commands = exchange(two);
+TEST_F(GangTest, TaskExitStopsOthersAndNextAttemptWaitsForAll) {
+  start_gang();
+  set_task_state(worker_1, TaskState::exited, ExitCause::peer_lost);
+  exchange(worker_1);
+  worker_1.tasks.clear();
+  heartbeat_only(worker_1);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start), 0u) << "the end of the other task is not confirmed";
+  const auto commands = exchange(worker_2);
   ASSERT_EQ(count(commands, CommandKind::stop), 1u);
   EXPECT_EQ(commands.at(0).grace_s, 0);
-  show(two, TaskState::exited, ExitCause::stopped);
-  heartbeat_only(one);
-  heartbeat_only(two);
-  const auto again = answer(one);
-  ASSERT_EQ(count(again, CommandKind::start), 1u);
-  EXPECT_EQ(again.at(0).attempt, 2u);
+  set_task_state(worker_2, TaskState::exited, ExitCause::stopped);
+  heartbeat_only(worker_1);
+  heartbeat_only(worker_2);
+  const auto restart_commands = answer(worker_1);
+  ASSERT_EQ(count(restart_commands, CommandKind::start), 1u);
+  EXPECT_EQ(restart_commands.at(0).attempt, 2u);
 }
 
-TEST_F(GangTest, OneTaskDoneMeansThatAllAreAndNoneIsForgottenBeforeThatIsOnRecord) {
-  running_gang();
+TEST_F(GangTest, OneDoneTaskCompletesGangAndAcknowledgesOnceDurable) {
+  start_gang();
   store_answers = false;
-  show(one, TaskState::exited, ExitCause::done);
-  heartbeat_only(one);
-  EXPECT_EQ(count(answer(one), CommandKind::acknowledge), 0u);
-  const auto save = cluster.next_write(now);
-  ASSERT_TRUE(save);
-  ASSERT_EQ(save->completed_jobs, std::vector<JobId>{JobId("job-1")});
-  EXPECT_EQ(save->transaction.puts.at(0).value.at("done"), 2);
-  show(two, TaskState::exited, ExitCause::done);
-  heartbeat_only(two);
-  EXPECT_EQ(count(answer(two), CommandKind::acknowledge), 0u);
-  cluster.apply(WriteApplied{save->number}, now);
+  set_task_state(worker_1, TaskState::exited, ExitCause::done);
+  heartbeat_only(worker_1);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::acknowledge), 0u);
+  const auto write = cluster.next_write(now);
+  ASSERT_TRUE(write);
+  ASSERT_EQ(write->completed_jobs, std::vector<JobId>{JobId("job-1")});
+  EXPECT_EQ(write->transaction.puts.at(0).value.at("done"), 2);
+  set_task_state(worker_2, TaskState::exited, ExitCause::done);
+  heartbeat_only(worker_2);
+  EXPECT_EQ(count(answer(worker_2), CommandKind::acknowledge), 0u);
+  cluster.apply(WriteApplied{write->number}, now);
   EXPECT_EQ(cluster.job(JobId("job-1")), nullptr);
-  EXPECT_EQ(count(exchange(one), CommandKind::acknowledge), 1u);
-  EXPECT_EQ(count(exchange(two), CommandKind::acknowledge), 1u);
+  EXPECT_EQ(count(exchange(worker_1), CommandKind::acknowledge), 1u);
+  EXPECT_EQ(count(exchange(worker_2), CommandKind::acknowledge), 1u);
 }
 
-TEST_F(GangTest, AGangThatIsDoneIsNeverStartedAgainAlsoWhereATaskWasLost) {
-  running_gang();
-  show(one, TaskState::exited, ExitCause::done);
-  exchange(one);
-  two.tasks.clear();  // it lost its task instead of showing it done
-  exchange(two);
-  one.tasks.clear();
+TEST_F(GangTest, CompletedGangIsNotRestartedAfterTaskLoss) {
+  start_gang();
+  set_task_state(worker_1, TaskState::exited, ExitCause::done);
+  exchange(worker_1);
+  worker_2.tasks.clear();  // its heartbeat lacks the task instead of showing it as done
+  exchange(worker_2);
+  worker_1.tasks.clear();
   for (int i = 0; i < 3; ++i) {
-    EXPECT_EQ(count(exchange(one), CommandKind::start), 0u);
-    EXPECT_EQ(count(exchange(two), CommandKind::start), 0u);
+    EXPECT_EQ(count(exchange(worker_1), CommandKind::start), 0u);
+    EXPECT_EQ(count(exchange(worker_2), CommandKind::start), 0u);
   }
   EXPECT_EQ(cluster.jobs(), 0u);
 }
 
-// The books kept such a job, and its record, for as long as the leader lived.
-TEST_F(GangTest, AGangThatIsDoneIsOffTheBooksOnceTheLeaseOfItsSilentMachineIsOver) {
-  running_gang();
-  show(one, TaskState::exited, ExitCause::done);
-  exchange(one);
-  one.tasks.clear();
+// Guards against keeping the job and its record until the end of the leader's term.
+TEST_F(GangTest, CompletedGangIsRemovedAfterUnresponsiveMachinesLeaseExpires) {
+  start_gang();
+  set_task_state(worker_1, TaskState::exited, ExitCause::done);
+  exchange(worker_1);
+  worker_1.tasks.clear();
   ASSERT_EQ(cluster.jobs(), 1u);
   for (int i = 0; i < cluster_config().worker_lease_s + 4; ++i) {
-    exchange(one);
+    exchange(worker_1);
     pass(1);
   }
   EXPECT_EQ(cluster.jobs(), 0u);
 }
 
-TEST_F(GangTest, AFailureCountsOnceAndLostPeersBlameNobody) {
-  running_gang();
-  show(one, TaskState::exited, ExitCause::error);
-  show(two, TaskState::exited, ExitCause::error);
-  exchange(one);
-  exchange(two);
+TEST_F(GangTest, FailureOfAllTasksCountsOnce) {
+  start_gang();
+  set_task_state(worker_1, TaskState::exited, ExitCause::error);
+  set_task_state(worker_2, TaskState::exited, ExitCause::error);
+  exchange(worker_1);
+  exchange(worker_2);
   EXPECT_EQ(cluster.job(JobId("job-1"))->failures, 1u);
   EXPECT_EQ(cluster.machine(MachineId("n-1"))->failed_jobs.size(), 1u);
   EXPECT_TRUE(cluster.machine(MachineId("n-2"))->failed_jobs.empty());
 }
 
-TEST_F(GangTest, LostPeersBlameNeitherMachineNorJob) {
-  running_gang();
-  show(one, TaskState::exited, ExitCause::peer_lost);
-  show(two, TaskState::exited, ExitCause::gang_incomplete);
-  exchange(one);
-  exchange(two);
+TEST_F(GangTest, PeerLossCountsAgainstNeitherMachineNorJob) {
+  start_gang();
+  set_task_state(worker_1, TaskState::exited, ExitCause::peer_lost);
+  set_task_state(worker_2, TaskState::exited, ExitCause::gang_incomplete);
+  exchange(worker_1);
+  exchange(worker_2);
   EXPECT_EQ(cluster.job(JobId("job-1"))->failures, 0u);
   EXPECT_TRUE(cluster.machine(MachineId("n-1"))->failed_jobs.empty());
   EXPECT_TRUE(cluster.machine(MachineId("n-2"))->failed_jobs.empty());
 }
 
-TEST_F(GangTest, AnUnknownStateProvesNothingGone) {
-  running_gang();
-  show(one, TaskState::unknown);
-  exchange(one);
+TEST_F(GangTest, UnknownTaskStateDoesNotConfirmEnd) {
+  start_gang();
+  set_task_state(worker_1, TaskState::unknown);
+  exchange(worker_1);
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u);
-  EXPECT_EQ(count(exchange(two), CommandKind::stop), 0u);
+  EXPECT_EQ(count(exchange(worker_2), CommandKind::stop), 0u);
 }
 
 class GangWithLongLeasesTest : public GangTest {
  protected:
   static ClusterConfig config_with_long_leases() {
     auto config = cluster_config();
-    config.worker_lease_s = 45;  // beyond `gang_wait_s`: no lease ends in time
+    config.worker_lease_s = 45;  // longer than the gang assembly timeout, so that no lease expires before it
     config.cancellation_timeout_s = 75;
     return config;
   }
   GangWithLongLeasesTest() : GangTest(config_with_long_leases()) {}
 };
 
-TEST_F(GangWithLongLeasesTest, IsGivenUpWellBeforeItsTasksWouldWhenAMachineDoesNotTakeItsStart) {
-  two_machines();
+TEST_F(GangWithLongLeasesTest, AttemptIsAbortedBeforeAssemblyTimeoutWhenStartIsLost) {
+  add_two_workers();
   submit(gang_spec("job-1", 2));
   settle();
-  answer(one);
-  answer(two);  // and is silent from now on
-  show(one, TaskState::waiting);
-  const double began = now;
+  answer(worker_1);
+  answer(worker_2);  // n-2 sends no further heartbeats
+  set_task_state(worker_1, TaskState::waiting);
+  const double started_at = now;
   bool stopped = false;
-  while (!stopped && now - began < cluster_config().gang_assembly_timeout_s) {
+  while (!stopped && now - started_at < cluster_config().gang_assembly_timeout_s) {
     pass(1);
-    stopped = count(exchange(one), CommandKind::stop) > 0;
+    stopped = count(exchange(worker_1), CommandKind::stop) > 0;
   }
   EXPECT_TRUE(stopped);
-  EXPECT_LT(now - began, 0.7 * cluster_config().gang_assembly_timeout_s);
+  EXPECT_LT(now - started_at, 0.7 * cluster_config().gang_assembly_timeout_s);
 }
 
-TEST_F(GangTest, IsRentedForWhereAllOfItCanBeHadAlsoWhenAnotherZoneHasRoomForSome) {
-  submit_gang_bound_to_one_zone();
+TEST_F(GangTest, SameZoneScaleOutAvoidsZoneWithPartialCapacity) {
+  submit_same_zone_gang();
   pass(3);
   const auto refused = seen<RequestScaleOut>();
   ASSERT_FALSE(refused.empty());
   const std::string zone = refused.at(0).request.zone;
-  for (const auto& rent : refused) cluster.apply(ScaleOutRefused{rent.request.id}, now);
+  for (const auto& scale_out : refused) cluster.apply(ScaleOutRefused{scale_out.request.id}, now);
   effects.clear();
-  one = ready_worker("n-1", zone, false);
+  worker_1 = ready_worker("n-1", zone, false);
   for (int i = 0; i < 3; ++i) {
-    exchange(one);
+    exchange(worker_1);
     pass(1);
   }
-  auto rented = rented_by_zone();
-  EXPECT_EQ(rented[zone], 0u);
-  EXPECT_EQ(rented[zone == "a" ? "b" : "a"], 3u);
+  auto machines_by_zone = requested_machines_by_zone();
+  EXPECT_EQ(machines_by_zone[zone], 0u);
+  EXPECT_EQ(machines_by_zone[zone == "a" ? "b" : "a"], 3u);
 }
 
-TEST_F(GangTest, IsRentedForAsAWholeInOneZone) {
-  submit_gang_bound_to_one_zone();
+TEST_F(GangTest, SameZoneScaleOutUsesSingleZone) {
+  submit_same_zone_gang();
   pass(6);
-  auto rented = rented_by_zone();
-  ASSERT_EQ(rented.size(), 1u);
-  EXPECT_EQ(rented.begin()->second, 3u);
+  auto machines_by_zone = requested_machines_by_zone();
+  ASSERT_EQ(machines_by_zone.size(), 1u);
+  EXPECT_EQ(machines_by_zone.begin()->second, 3u);
 }
 
-TEST_F(GangTest, IsRentedForInAnotherZoneAfterARefusal) {
-  submit_gang_bound_to_one_zone();
+TEST_F(GangTest, SameZoneScaleOutTriesAnotherZoneAfterRefusal) {
+  submit_same_zone_gang();
   pass(6);
-  const auto first = seen<RequestScaleOut>();
-  ASSERT_FALSE(first.empty());
-  for (const auto& rent : first) cluster.apply(ScaleOutRefused{rent.request.id}, now);
+  const auto refused = seen<RequestScaleOut>();
+  ASSERT_FALSE(refused.empty());
+  for (const auto& scale_out : refused) cluster.apply(ScaleOutRefused{scale_out.request.id}, now);
   effects.clear();
   pass(3);
-  const auto again = seen<RequestScaleOut>();
-  ASSERT_FALSE(again.empty());
-  EXPECT_NE(again.at(0).request.zone, first.at(0).request.zone);
+  const auto retried = seen<RequestScaleOut>();
+  ASSERT_FALSE(retried.empty());
+  EXPECT_NE(retried.at(0).request.zone, refused.at(0).request.zone);
 }
 
-TEST_F(GangTest, BoundToOneZoneIsNotPlacedAcrossTwo) {
+TEST_F(GangTest, SameZoneGangIsNotPlacedAcrossZones) {
   loaded();
-  one = ready_worker("n-1", "a", false);
-  two = ready_worker("n-2", "b", false);
+  worker_1 = ready_worker("n-1", "a", false);
+  worker_2 = ready_worker("n-2", "b", false);
   auto spec = gang_spec("job-1", 2);
   spec.same_zone = true;
   submit(spec);
   settle();
-  EXPECT_EQ(count(answer(one), CommandKind::start) + count(answer(two), CommandKind::start), 0u);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start) + count(answer(worker_2), CommandKind::start), 0u);
 }
 
-// A team whose quota holds less than a gang of two.
+// The team's quota is smaller than a gang of two tasks.
 class GangQuotaTest : public GangTest {
  protected:
-  static ClusterConfig with_quota() {
+  static ClusterConfig config_with_quota() {
     auto config = cluster_config();
     config.teams[0].quota.cpus = 12;
     return config;
   }
-  GangQuotaTest() : GangTest(with_quota()) {}
+  GangQuotaTest() : GangTest(config_with_quota()) {}
 };
 
-TEST_F(GangQuotaTest, CountsAgainstItsTeamsQuotaAsAWhole) {
-  two_machines();
+TEST_F(GangQuotaTest, WholeGangCountsAgainstTeamQuota) {
+  add_two_workers();
   submit(gang_spec("job-1", 2));
   settle();
-  EXPECT_EQ(count(answer(one), CommandKind::start) + count(answer(two), CommandKind::start), 0u);
+  EXPECT_EQ(count(answer(worker_1), CommandKind::start) + count(answer(worker_2), CommandKind::start), 0u);
 }
 
 }  // namespace dockdyke::testing
--- a/tests/core/job_queue_test.cpp
+++ b/tests/core/job_queue_test.cpp
@@ -49,7 +49,7 @@
 
 TEST_F(JobQueueTest, PutsStarvingJobsFirstWhateverTheirPriority) {
   add("job-1", 40, wire::Priority::critical);
-  add("job-2", now - constants::kStarvationThreshold, wire::Priority::low);
+  add("job-2", now - constants::kStarvationThresholdSeconds, wire::Priority::low);
   EXPECT_EQ(order(), (std::vector<std::string>{"job-2", "job-1"}));
 }
 
@@ -86,7 +86,7 @@
   add("job-1", 10);
   EXPECT_EQ(order().size(), constants::kSmallQueueSize) << "the order is not old enough";
   EXPECT_TRUE(queue.stale());
-  now += constants::kQueueOrderInterval;
+  now += constants::kQueueSortIntervalSeconds;
   EXPECT_EQ(order().size(), constants::kSmallQueueSize + 1);
 }
 
--- a/tests/core/machine_health_test.cpp
+++ b/tests/core/machine_health_test.cpp
@@ -46,7 +46,7 @@
   health.record_failure(job("job-2"), faulty, now);
   health.drain_faulty_machines(now);
   EXPECT_FALSE(faulty.draining) << "the jobs have time to fail elsewhere as well";
-  health.drain_faulty_machines(now + constants::kQuarantineDelay);
+  health.drain_faulty_machines(now + constants::kQuarantineDelaySeconds);
   EXPECT_TRUE(faulty.draining);
 }
 
@@ -80,15 +80,15 @@
   for (int i = 1; i <= 8; ++i) {
     health.record_failure(broken, machine("n-" + std::to_string(i)), now);
     const double backoff_s = broken.backoff_until - now;
-    if (i < static_cast<int>(constants::kSuspectJobMachines)) {
+    if (i < static_cast<int>(constants::kSuspectJobMachineThreshold)) {
       EXPECT_LE(backoff_s, 0);
       continue;
     }
     EXPECT_GE(backoff_s, last_s);
-    EXPECT_LE(backoff_s, constants::kErrorBackoffMax);
+    EXPECT_LE(backoff_s, constants::kMaxErrorBackoffSeconds);
     last_s = backoff_s;
   }
-  EXPECT_EQ(last_s, constants::kErrorBackoffMax);
+  EXPECT_EQ(last_s, constants::kMaxErrorBackoffSeconds);
 }
 
 TEST_F(MachineHealthTest, AStragglerIsDrainedAndItsFirstAttemptsAreStopped) {
--- a/tests/core/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -465,7 +465,7 @@
   EXPECT_LE(large.scanned() - before, 2u);
   // Nor does a second's review look at every machine for every job that waits for room.
   const auto before_review = large.scanned();
-  time += constants::kPreemptionDelay + 1;
+  time += constants::kPreemptionDelaySeconds + 1;
   large.apply(Tick{}, time);
   EXPECT_LT(large.scanned() - before_review, static_cast<std::uint64_t>(kMachines + 2 * kJobs));
 }
--- a/tests/core/response_hold_test.cpp
+++ b/tests/core/response_hold_test.cpp
@@ -43,7 +43,7 @@
 }
 
 TEST_F(ResponseHoldTest, TaskThatMayEndSoonIsReportedWithoutDelay) {
-  busy_worker(4, constants::kHoldProgressThreshold * kEstimatedRunSeconds + 2);
+  busy_worker(4, constants::kMaxHoldProgressFraction * kEstimatedRunSeconds + 2);
   EXPECT_EQ(hold(), ResponseHold::none);
 }
 
--- a/tests/core/scale_requests_test.cpp
+++ b/tests/core/scale_requests_test.cpp
@@ -41,12 +41,12 @@
 }
 
 TEST_F(ScaleOutRequestsTest, RefusalsBackOffDoublingUpToABound) {
-  double expected_s = constants::kOfferingBackoffInitial;
+  double expected_s = constants::kInitialOfferingBackoffSeconds;
   for (int i = 0; i < 6; ++i) {
     scale_out.refused(request(1), now);
     EXPECT_TRUE(scale_out.in_backoff(offering, now + expected_s - 0.1)) << "refusal " << i;
     EXPECT_FALSE(scale_out.in_backoff(offering, now + expected_s)) << "refusal " << i;
-    expected_s = std::min(constants::kOfferingBackoffMax, 2 * expected_s);
+    expected_s = std::min(constants::kMaxOfferingBackoffSeconds, 2 * expected_s);
   }
   EXPECT_EQ(scale_out.pending_machines(), 0u);
 }
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -249,7 +249,7 @@
   service.status = 429;
   for (int i = 0; i < 10; ++i) {
     write(constants::kRateLimitRefusalThreshold - 1);
-    run(constants::kRateLimitRefusalWindow + 1);
+    run(constants::kRateLimitRefusalWindowSeconds + 1);
   }
   EXPECT_FALSE(client.write_limit_lowered());
   EXPECT_EQ(client.write_limit(), 20);
