--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -16,7 +16,7 @@
       scale_in_(scale_in) {}
 
 bool Autoscaler::run_due(Time now) const {
-  return now - last_run_at_ >= constants::kAutoscalerInterval;
+  return now - last_run_at_ >= constants::kAutoscalerIntervalSeconds;
 }
 
 std::size_t Autoscaler::fleet_size() const {
@@ -42,8 +42,9 @@
 
 std::size_t Autoscaler::request_planned_machines(std::size_t max_machines, Time now) {
   // Scale-out requests may use only a part of the cloud's rate limit.
-  auto calls = static_cast<std::size_t>(std::max(
-      1.0, state_.config().cloud_rps * constants::kHousekeepingInterval * constants::kScaleOutCallShare));
+  auto calls = static_cast<std::size_t>(
+      std::max(1.0, state_.config().cloud_rps * constants::kHousekeepingIntervalSeconds *
+                        constants::kScaleOutCallRateFraction));
   std::size_t requested = 0;
   const auto request_machines = [&](const CapacityPlanner::MachinesToRequest& machines_to_request) {
     for (const auto& [offering, machines] : machines_to_request) {
@@ -89,7 +90,7 @@
   }
   for (const auto& type : state_.types()) {
     double& smoothed = replaceable_machines_[type.name];
-    smoothed += constants::kOnDemandLoadSmoothing * (replaceable_by_type[type.name] - smoothed);
+    smoothed += constants::kOnDemandLoadSmoothingFactor * (replaceable_by_type[type.name] - smoothed);
   }
 }
 
@@ -120,7 +121,7 @@
     const auto offering = first_available_spot_offering(type, now);
     if (!offering) continue;
     // Requests a fraction of the excess, but at least one machine and at most as many as one call allows.
-    const auto fraction_of_excess = static_cast<std::size_t>(excess * constants::kSpotReplacementShare);
+    const auto fraction_of_excess = static_cast<std::size_t>(excess * constants::kSpotReplacementFraction);
     const auto count = std::min<std::size_t>(
         {max_machines, constants::kMaxMachinesPerScaleOut, std::max<std::size_t>(1, fraction_of_excess)});
     scale_out_.request(*offering, count, now);
@@ -175,7 +176,7 @@
     if (!constraints_.accepts_work(machine, now) || !state_.type_of(machine)) continue;
     if (machine.assignments.empty()) {
       idle.push_back(&machine);
-    } else if (utilization_of(machine) >= constants::kNearlyDoneProgress) {
+    } else if (utilization_of(machine) >= constants::kNearlyDoneFraction) {
       ++summary_.saturated;
     }
   }
@@ -209,7 +210,7 @@
   for (const Machine* machine : idle) {
     if (machine->reserved_for_gang != 0 || machine->in_gang_reserve) continue;
     const double boot_fraction =
-        machine->spot ? constants::kSpotIdleBootShare : constants::kOnDemandIdleBootShare;
+        machine->spot ? constants::kSpotIdleBootFraction : constants::kOnDemandIdleBootFraction;
     if (now - machine->became_idle_at < boot_fraction * state_.type_of(*machine)->boot_s) continue;
     ++summary_.scale_in_candidates;
     if (idle_left <= config.free_machines || summary_.machines - to_delete.size() <= config.min_machines)
--- a/src/core/autoscaler.hpp
+++ b/src/core/autoscaler.hpp
@@ -17,14 +17,15 @@
 
 namespace dockdyke::core {
 
-// Runs every `kAutoscalerInterval`: requests machines for waiting tasks, spot replacements and the operators'
-// minimum, and deletes idle machines. Machines for waiting tasks are also requested between those runs.
+// Runs every `kAutoscalerIntervalSeconds`: requests machines for waiting tasks, spot replacements and the
+// operators' minimum, and deletes idle machines. Machines for waiting tasks are also requested between those
+// runs.
 class Autoscaler {
  public:
   Autoscaler(ClusterState& state, const SchedulingConstraints& constraints, CapacityPlanner& planner,
              ScaleOutRequests& scale_out, ScaleInRequests& scale_in);
 
-  // Returns whether `kAutoscalerInterval` has passed since the last call of `run`.
+  // Returns whether `kAutoscalerIntervalSeconds` has passed since the last call of `run`.
   bool run_due(Time now) const;
   void run(Time now);
   // Requests machines for waiting tasks. Called between runs, so that after a refused or partially filled
--- a/src/core/cancellation_tracker.hpp
+++ b/src/core/cancellation_tracker.hpp
@@ -24,7 +24,7 @@
   void record_machine_deleted(const Machine& machine);
   // Stops tracking a job whose tasks have all been confirmed ended.
   void finish_tracking(const Job& job, Time now);
-  // Reports each job once when less than `kCancellationWarningShare` of the cancellation timeout is left.
+  // Reports each job once when less than `kCancellationWarningFraction` of the cancellation timeout is left.
   void report_at_risk(Time now);
 
   std::vector<CancellationReport> take_reports();
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -32,7 +32,8 @@
     if (job.waiting_tasks() == 0 || now < job.backoff_ends_at) continue;
     const auto start_s = start_target_s(state_.config(), job.spec.job_class);
     if (!start_s) continue;
-    const double max_wait_s = std::max(constants::kScaleOutDelay, constants::kStartPressureShare * *start_s);
+    const double max_wait_s =
+        std::max(constants::kScaleOutDelaySeconds, constants::kStartPressureFraction * *start_s);
     if (now - job.queued_at <= max_wait_s) continue;
     for (std::size_t type = 0; type < at_slo_risk.size(); ++type)
       at_slo_risk[type] = at_slo_risk[type] || job.compatible_with(type);
@@ -237,9 +238,10 @@
     restrict_to_zone(demand.zones, *zone);
   }
   const bool any_group_allowed = place_on_available_machines(plan, demand);
-  // Waits `kScaleOutDelay` for machines to become free before requesting more, unless the job is allowed on
-  // none of the available ones.
-  if (demand.tasks == 0 || (any_group_allowed && now - job.queued_at < constants::kScaleOutDelay)) return;
+  // Waits `kScaleOutDelaySeconds` for machines to become free before requesting more, unless the job is
+  // allowed on none of the available ones.
+  if (demand.tasks == 0 || (any_group_allowed && now - job.queued_at < constants::kScaleOutDelaySeconds))
+    return;
   request_machines(plan, demand, allow_on_demand, now);
 }
 
@@ -247,7 +249,7 @@
 
 CapacityPlanner::MachinesToRequest CapacityPlanner::machines_for_expected_gangs(std::size_t max_machines,
                                                                                 Time now) {
-  const auto& expected = gang_reservations_.expected();
+  const auto& expected = gang_reservations_.expected_gangs();
   if (expected.empty()) return {};
   // Capacity that will soon be free is not counted, as other jobs are likely to need it by then.
   Plan plan = begin_plan(group_machines(false, now), 0);
@@ -260,10 +262,10 @@
   }
   plan.machine_budget = max_machines;
   for (const auto& each : expected) {
-    Job gang = gang_reservations_.model_job(each.largest);
+    Job gang = gang_reservations_.make_hypothetical_job(each.largest_gang);
     QueuedJob queued;
     queued.job = &gang;
-    for (std::size_t i = 0; i < each.gangs; ++i) {
+    for (std::size_t i = 0; i < each.count; ++i) {
       JobDemand demand{gang, gang.spec.task_count, constraints_.zone_capacity(gang), {}};
       plan_job(plan, queued, demand, now);
     }
--- a/src/core/cluster_state.cpp
+++ b/src/core/cluster_state.cpp
@@ -107,7 +107,7 @@
 
 void ClusterState::expire_tombstones(Time now) {
   const auto expired = [now](const auto& tombstone) {
-    return now - tombstone.second > constants::kTombstoneTtl;
+    return now - tombstone.second > constants::kTombstoneTtlSeconds;
   };
   std::erase_if(deleted_machines_, expired);
   std::erase_if(ended_jobs_, expired);
--- a/src/core/cluster_state.hpp
+++ b/src/core/cluster_state.hpp
@@ -44,7 +44,7 @@
   const Job* find_job(const JobId& id) const;
   Job* find_job(std::uint32_t serial) const;
   Job& add_job(const wire::JobSpec& spec, Revision version, Time submitted_at, Time now);
-  // Removes the job and keeps a tombstone of it for `kTombstoneTtl`.
+  // Removes the job and keeps a tombstone of it for `kTombstoneTtlSeconds`.
   void remove_job(const JobId& id, Time now);
   bool recently_ended(const JobId& id) const { return ended_jobs_.contains(id); }
   // Adds or refreshes the tombstone of an ended job. Returns whether there was none before.
@@ -57,10 +57,10 @@
   const Machine* find_machine(const MachineId& id) const;
   Machine& find_or_add_machine(const MachineId& id, Time now);
   void set_offering(Machine& machine, const std::string& type, const std::string& zone, bool spot);
-  // Removes a machine that has no assignments and keeps a tombstone of it for `kTombstoneTtl`.
+  // Removes a machine that has no assignments and keeps a tombstone of it for `kTombstoneTtlSeconds`.
   void remove_machine(const MachineId& id, Time now);
   bool recently_deleted(const MachineId& id) const { return deleted_machines_.contains(id); }
-  // Removes tombstones of jobs and machines that are older than `kTombstoneTtl`.
+  // Removes tombstones of jobs and machines that are older than `kTombstoneTtlSeconds`.
   void expire_tombstones(Time now);
 
   // Machines whose last heartbeat has no response yet. Commands are sent in these responses.
--- a/src/core/events.hpp
+++ b/src/core/events.hpp
@@ -90,7 +90,7 @@
 
 // ---- Time ----
 
-// Sent every `kHousekeepingInterval`.
+// Sent every `kHousekeepingIntervalSeconds`.
 struct Tick {};
 
 using Event = std::variant<JobLoaded, SegmentLoaded, GangPartLoaded, ScaleOutLoaded, ScaleInLoaded,
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -11,8 +11,8 @@
     : state_(state), constraints_(constraints), lifecycle_(lifecycle) {}
 
 bool FailureDetector::lease_expired(const Machine& machine, Time now) const {
-  const double lease_s =
-      state_.config().worker_lease_s * (1 + 2 * constants::kMaxClockDrift) + constants::kLeaseExpiryMargin;
+  const double lease_s = state_.config().worker_lease_s * (1 + 2 * constants::kMaxClockDriftFraction) +
+                         constants::kLeaseExpiryMarginSeconds;
   // Until the worker acknowledges this leader's token, a previous leader may still renew the lease.
   return machine.token_acknowledged &&
          now - std::max(machine.last_response_at, machine.last_heartbeat_at) > lease_s;
@@ -52,14 +52,14 @@
   // exceed the cancellation timeout.
   if (unresponsive && lease_expired(machine, now)) return true;
   const double reserve_s =
-      std::min(constants::kCancellationReserveMax,
-               constants::kCancellationReserveShare * state_.config().cancellation_timeout_s);
+      std::min(constants::kMaxCancellationReserveSeconds,
+               constants::kCancellationReserveFraction * state_.config().cancellation_timeout_s);
   // After the timeout the task has most likely ended, and only the confirmation is missing.
   if (*left_s <= 0) return unresponsive;
   // A new leader takes a machine for responsive until the heartbeat threshold has passed. Under a series of
   // short-lived leaders an unresponsive machine would never be deleted, so an acknowledged token is required.
   if (*left_s < reserve_s && !responsive_under_token(machine, now)) return true;
-  return *left_s < constants::kCancellationLastResortShare * reserve_s;
+  return *left_s < constants::kCancellationLastResortFraction * reserve_s;
 }
 
 std::vector<MachineId> FailureDetector::machines_to_delete_for_cancellations(Time now) const {
@@ -74,18 +74,21 @@
   if (const auto* type = state_.type_of(machine)) return age_s > constants::kLostBootFactor * type->boot_s;
   // A machine known only from a record and missing from the cloud's list most likely does not exist. Deleting
   // it confirms that its tasks have ended.
-  return !machine.listed && age_s > 2 * state_.config().machine_list_lag_s + constants::kUnknownMachineGrace;
+  return !machine.listed &&
+         age_s > 2 * state_.config().machine_list_lag_s + constants::kUnknownMachineGraceSeconds;
 }
 
 bool FailureDetector::presumed_lost(const Machine& machine, Time now) const {
   const bool termination_due = machine.terminates_at && now > *machine.terminates_at;
   return machine.missed_listings >= constants::kMissedListingsThreshold || termination_due ||
-         now - machine.last_heartbeat_at > state_.config().worker_lease_s + constants::kSilentMachineGrace;
+         now - machine.last_heartbeat_at >
+             state_.config().worker_lease_s + constants::kUnresponsiveMachineGraceSeconds;
 }
 
 bool FailureDetector::responses_lost(const Machine& machine, Time now) const {
   return machine.undelivered_responses >= constants::kUndeliveredResponsesThreshold &&
-         now - machine.first_undelivered_at > state_.config().worker_lease_s + constants::kLeaseExpiryMargin;
+         now - machine.first_undelivered_at >
+             state_.config().worker_lease_s + constants::kLeaseExpiryMarginSeconds;
 }
 
 bool FailureDetector::requires_deletion(const Machine& machine, Time now) const {
--- a/src/core/machine.cpp
+++ b/src/core/machine.cpp
@@ -30,7 +30,8 @@
 }
 
 bool Machine::reserved_for_other(const Job& job, Time now) const {
-  if (in_gang_reserve && !job.is_gang() && now - job.queued_at < constants::kGangReserveWait) return true;
+  if (in_gang_reserve && !job.is_gang() && now - job.queued_at < constants::kGangReserveWaitSeconds)
+    return true;
   return reserved_for_gang != 0 && reserved_for_gang != job.serial;
 }
 
--- a/src/core/machine.hpp
+++ b/src/core/machine.hpp
@@ -95,7 +95,7 @@
   // Returns whether a task with this image is assigned here, so that the image is cached or being fetched.
   bool has_task_with_image(const std::string& name) const;
   // Returns whether its capacity is reserved for a job other than `job`. The capacity reserve for expected
-  // gangs is open to gangs, and to other jobs after `kGangReserveWait`.
+  // gangs is open to gangs, and to other jobs after `kGangReserveWaitSeconds`.
   bool reserved_for_other(const Job& job, Time now) const;
 };
 
--- a/src/core/machine_health.cpp
+++ b/src/core/machine_health.cpp
@@ -52,21 +52,21 @@
     // Failures on several machines are attributed to the job until one of its tasks completes.
     remove_from_failed_jobs(job);
   }
-  if (job.failed_machines.size() < constants::kSuspectJobMachines) return;
-  const double doublings =
-      std::min<double>(6, static_cast<double>(job.failed_machines.size() - constants::kSuspectJobMachines));
-  job.backoff_ends_at =
-      now + std::min(constants::kErrorBackoffMax, constants::kErrorBackoffInitial * std::exp2(doublings + 1));
+  if (job.failed_machines.size() < constants::kSuspectJobMachineThreshold) return;
+  const double doublings = std::min<double>(
+      6, static_cast<double>(job.failed_machines.size() - constants::kSuspectJobMachineThreshold));
+  job.backoff_ends_at = now + std::min(constants::kMaxErrorBackoffSeconds,
+                                       constants::kInitialErrorBackoffSeconds * std::exp2(doublings + 1));
 }
 
 void MachineHealth::drain_faulty_machines(Time now) {
   for (auto& [id, machine] : state_.machines()) {
-    if (machine.draining || machine.failed_jobs.size() < constants::kFaultyMachineJobs) continue;
+    if (machine.draining || machine.failed_jobs.size() < constants::kFaultyMachineJobThreshold) continue;
     // The machine already accepts no work. During the delay, broken jobs also fail on other machines and are
     // removed from `failed_jobs`, so that healthy machines are not drained because of them.
     Time latest = 0;
     for (const auto& [job, failed_at] : machine.failed_jobs) latest = std::max(latest, failed_at);
-    if (now - latest >= constants::kQuarantineDelay) machine.draining = true;
+    if (now - latest >= constants::kQuarantineDelaySeconds) machine.draining = true;
   }
 }
 
--- a/src/core/reconciler.cpp
+++ b/src/core/reconciler.cpp
@@ -217,12 +217,12 @@
         health_.record_failure(job, machine, now);
       break;
     case ExitCause::no_room:
-      machine.assignments_resume_at = now + constants::kNoCapacityBackoff;
+      machine.assignments_resume_at = now + constants::kNoCapacityBackoffSeconds;
       break;
     case ExitCause::unknown_job:
       ++job.consecutive_failures;
-      job.backoff_ends_at = now + std::min(constants::kErrorBackoffMax,
-                                           constants::kErrorBackoffInitial * job.consecutive_failures);
+      job.backoff_ends_at = now + std::min(constants::kMaxErrorBackoffSeconds,
+                                           constants::kInitialErrorBackoffSeconds * job.consecutive_failures);
       break;
     case ExitCause::stopped:
     case ExitCause::busy:
--- a/src/core/task_log.cpp
+++ b/src/core/task_log.cpp
@@ -52,9 +52,9 @@
   if (unpersisted_jobs_.empty() || in_flight_ >= constants::kMaxSegmentsInFlight) return std::nullopt;
   // Each segment accounts for kWritesPerSegment writes of the leader's rate limit, which leaves the rest to
   // other writes.
-  const double leader_rate = state_.config().write_rps * constants::kLeaderRateShare;
+  const double leader_rate = state_.config().write_rps * constants::kLeaderRateFraction;
   const double min_interval = constants::kWritesPerSegment / leader_rate;
-  double interval = constants::kHousekeepingInterval;
+  double interval = constants::kHousekeepingIntervalSeconds;
   if (segment_requested_) interval = last_segment_full_ ? 0 : min_interval;
   return std::max(0.0, last_segment_at_ + interval - now);
 }
--- a/src/core/worker_commands.cpp
+++ b/src/core/worker_commands.cpp
@@ -107,7 +107,7 @@
         const TaskAssignment& assignment = task.assignment();
         if (assignment.stopping) return true;
         if (task.job->spec.kind == wire::JobKind::service) return false;
-        return assignment.ran_s(now) > constants::kHoldProgressThreshold * task.job->expected_run_s;
+        return assignment.ran_s(now) > constants::kMaxHoldProgressFraction * task.job->expected_run_s;
       });
 }
 
--- a/tests/core/machine_health_test.cpp
+++ b/tests/core/machine_health_test.cpp
@@ -46,7 +46,7 @@
   health.record_failure(add_job("job-2"), faulty, now);
   health.drain_faulty_machines(now);
   EXPECT_FALSE(faulty.draining) << "the delay lets the jobs fail on other machines as well";
-  health.drain_faulty_machines(now + constants::kQuarantineDelay);
+  health.drain_faulty_machines(now + constants::kQuarantineDelaySeconds);
   EXPECT_TRUE(faulty.draining);
 }
 
@@ -80,15 +80,15 @@
   for (int i = 1; i <= 8; ++i) {
     health.record_failure(job, add_machine("n-" + std::to_string(i)), now);
     const double backoff_s = job.backoff_ends_at - now;
-    if (i < static_cast<int>(constants::kSuspectJobMachines)) {
+    if (i < static_cast<int>(constants::kSuspectJobMachineThreshold)) {
       EXPECT_LE(backoff_s, 0);
       continue;
     }
     EXPECT_GE(backoff_s, previous_s);
-    EXPECT_LE(backoff_s, constants::kErrorBackoffMax);
+    EXPECT_LE(backoff_s, constants::kMaxErrorBackoffSeconds);
     previous_s = backoff_s;
   }
-  EXPECT_EQ(previous_s, constants::kErrorBackoffMax);
+  EXPECT_EQ(previous_s, constants::kMaxErrorBackoffSeconds);
 }
 
 TEST_F(MachineHealthTest, StragglerIsDrainedAndItsFirstAttemptStopped) {
--- a/tests/core/response_hold_test.cpp
+++ b/tests/core/response_hold_test.cpp
@@ -43,7 +43,7 @@
 }
 
 TEST_F(ResponseHoldTest, ResponseIsNotHeldWhenTaskMayEndSoon) {
-  run_task_on_worker(4, constants::kHoldProgressThreshold * kEstimatedRunSeconds + 2);
+  run_task_on_worker(4, constants::kMaxHoldProgressFraction * kEstimatedRunSeconds + 2);
   EXPECT_EQ(hold(), ResponseHold::none);
 }
 
