--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -67,7 +67,7 @@
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.scale_in_requested || !state_.type_of(machine) || !machine.spot) continue;
     const bool free = constraints_.accepts_work(machine, now) && machine.assignments.empty();
-    const bool coming = machine.state == MachineState::booting && !constraints_.boots_late(machine, now);
+    const bool coming = machine.state == MachineState::booting && !constraints_.boot_overdue(machine, now);
     if (free || coming) machines[machine.type] += 1;
   }
   for (const auto& [id, pending] : scale_out_.pending())
@@ -168,7 +168,7 @@
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.scale_in_requested || machine.state == MachineState::gone) continue;
     if (machine.state == MachineState::booting) {
-      summary_.booting += constraints_.boots_late(machine, now) ? 0 : 1;
+      summary_.booting += constraints_.boot_overdue(machine, now) ? 0 : 1;
       continue;
     }
     if (!constraints_.accepts_work(machine, now) || !state_.type_of(machine)) continue;
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -44,8 +44,9 @@
                                                   Time now) const {
   wire::Resources freeing;
   for (const auto& task : machine.assignments) {
-    const bool soon = under_pressure ? nearly_done(*task.job, task.assignment(), now)
-                                     : frees_soon(state_, *task.job, task.assignment(), now);
+    const bool soon = under_pressure
+                          ? nearly_done(*task.job, task.assignment(), now)
+                          : ends_before_new_machine_boots(state_, *task.job, task.assignment(), now);
     if (soon) freeing += task.job->spec.task_resources;
   }
   return freeing;
@@ -99,7 +100,7 @@
     if (machine.state == MachineState::up) {
       if (!constraints_.accepts_work(machine, now)) continue;
       if (include_freeing) free += freeing_capacity(machine, under_pressure[machine.type_number], now);
-    } else if (machine.state != MachineState::booting || constraints_.boots_late(machine, now)) {
+    } else if (machine.state != MachineState::booting || constraints_.boot_overdue(machine, now)) {
       continue;
     }
     add(machine.type_number, machine.zone, machine.spot, free, 1);
--- a/src/core/checkpoint_timing.cpp
+++ b/src/core/checkpoint_timing.cpp
@@ -4,10 +4,10 @@
 
 namespace dockdyke::core {
 
-double last_chance_to_save_s(const ClusterConfig& config, const wire::JobSpec& spec) {
-  constexpr double kLongestInterval = 1.25;  // heartbeats come every interval, give or take a quarter
+double checkpoint_lead_time_s(const ClusterConfig& config, const wire::JobSpec& spec) {
+  constexpr double kMaxIntervalFactor = 1.25;  // heartbeat intervals vary by plus or minus a quarter
   return spec.checkpoint_duration_s + constants::kTerminationNoticeMargin +
-         kLongestInterval * config.heartbeat_interval_s;
+         kMaxIntervalFactor * config.heartbeat_interval_s;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/checkpoint_timing.hpp
+++ b/src/core/checkpoint_timing.hpp
@@ -1,4 +1,4 @@
-// When a task must be told to save its progress.
+// Time at which a task must be told to write a checkpoint before its machine is terminated.
 #pragma once
 
 #include "core/config.hpp"
@@ -6,8 +6,8 @@
 
 namespace dockdyke::core {
 
-// Seconds before a machine ends at which a task has to be told to save: commands travel only with responses,
-// so the last chance comes a heartbeat interval before saving has to begin.
-double last_chance_to_save_s(const ClusterConfig& config, const wire::JobSpec& spec);
+// Returns the seconds before the termination of a machine at which a task must be told to write a checkpoint.
+// Commands travel only in responses to heartbeats, so this includes one heartbeat interval.
+double checkpoint_lead_time_s(const ClusterConfig& config, const wire::JobSpec& spec);
 
 }  // namespace dockdyke::core
--- a/src/core/completion_forecast.cpp
+++ b/src/core/completion_forecast.cpp
@@ -8,13 +8,13 @@
 
 bool nearly_done(const Job& job, const TaskAssignment& assignment, Time now) {
   if (assignment.stopping) return true;
-  const double expected = job.expected_run_s;
-  if (assignment.running_since == 0 || expected <= 0) return false;
-  const double progress = (now - assignment.running_since) / expected;
+  const double expected_s = job.expected_run_s;
+  if (assignment.running_since == 0 || expected_s <= 0) return false;
+  const double progress = (now - assignment.running_since) / expected_s;
   return progress >= constants::kNearlyDoneProgress && progress <= constants::kOverrunFactor;
 }
 
-double quickest_boot_s(const ClusterState& state, const Job& job) {
+double shortest_boot_s(const ClusterState& state, const Job& job) {
   double boot_s = 0;
   const auto& types = state.types();
   for (std::size_t i = 0; i < types.size(); ++i)
@@ -22,13 +22,14 @@
   return boot_s;
 }
 
-bool frees_soon(const ClusterState& state, const Job& job, const TaskAssignment& assignment, Time now) {
+bool ends_before_new_machine_boots(const ClusterState& state, const Job& job,
+                                   const TaskAssignment& assignment, Time now) {
   if (nearly_done(job, assignment, now)) return true;
-  const double expected = job.expected_run_s;
-  if (expected <= 0) return false;
-  const double ran = assignment.ran_s(now);
-  if (ran > constants::kOverrunFactor * expected) return false;
-  return expected - ran < constants::kFreesSoonBootShare * quickest_boot_s(state, job);
+  const double expected_s = job.expected_run_s;
+  if (expected_s <= 0) return false;
+  const double ran_s = assignment.ran_s(now);
+  if (ran_s > constants::kOverrunFactor * expected_s) return false;
+  return expected_s - ran_s < constants::kFreesSoonBootShare * shortest_boot_s(state, job);
 }
 
 }  // namespace dockdyke::core
--- a/src/core/completion_forecast.hpp
+++ b/src/core/completion_forecast.hpp
@@ -1,4 +1,4 @@
-// When running tasks are likely to free their capacity.
+// Estimates whether running tasks are about to end and free their capacity.
 #pragma once
 
 #include "core/cluster_state.hpp"
@@ -7,14 +7,16 @@
 
 namespace dockdyke::core {
 
-// The task has passed most of its expected run time, or is being stopped. Past a good deal more than that it
-// has shown the estimate to be wrong, not that it is about to end.
+// Returns whether the task is being stopped or has run for most of its expected run time. A task that has
+// exceeded the expected run time by far does not count: its estimate is wrong.
 bool nearly_done(const Job& job, const TaskAssignment& assignment, Time now);
 
-// The shortest nominal boot time (s) of the types that the job may run on; 0 where there is none.
-double quickest_boot_s(const ClusterState& state, const Job& job);
+// Returns the shortest nominal boot time (s) of the machine types that the job may run on, or 0 if there is
+// no such type.
+double shortest_boot_s(const ClusterState& state, const Job& job);
 
-// The task is likely to end before a machine that is requested now would be up.
-bool frees_soon(const ClusterState& state, const Job& job, const TaskAssignment& assignment, Time now);
+// Returns whether the task is likely to end before a machine that is requested now has booted.
+bool ends_before_new_machine_boots(const ClusterState& state, const Job& job,
+                                   const TaskAssignment& assignment, Time now);
 
 }  // namespace dockdyke::core
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -22,7 +22,7 @@
 void FailureDetector::expire_leases(Time now) {
   for (auto& [id, machine] : state_.machines()) {
     if (machine.assignments.empty()) continue;
-    if (constraints_.silent(machine, now)) lifecycle_.release_undispatched(machine, now);
+    if (constraints_.unresponsive(machine, now)) lifecycle_.release_undispatched(machine, now);
     if (!lease_expired(machine, now)) continue;
     const auto assignments = machine.assignments;
     // A gang that is done may have been waiting for this proof to be removed.
@@ -42,13 +42,13 @@
 }
 
 bool FailureDetector::in_contact(const Machine& machine, Time now) const {
-  return machine.token_acknowledged && !constraints_.silent(machine, now);
+  return machine.token_acknowledged && !constraints_.unresponsive(machine, now);
 }
 
 bool FailureDetector::cancellation_requires_deletion(const Machine& machine, Time now) const {
   const auto left_s = cancellation_time_left_s(machine, now);
   if (!left_s) return false;
-  const bool silent = constraints_.silent(machine, now);
+  const bool silent = constraints_.unresponsive(machine, now);
   // A machine that hangs ends nothing: what it held when its lease expired it holds until it goes on or is
   // deleted. Waited for like any silent machine, some held cancelled tasks past the time that these have.
   if (silent && lease_expired(machine, now)) return true;
@@ -92,7 +92,7 @@
 bool FailureDetector::to_be_deleted(const Machine& machine, Time now) const {
   if (machine.state == MachineState::gone) return true;
   if (machine.state == MachineState::booting) return boot_failed(machine, now);
-  if (constraints_.silent(machine, now)) return unreachable(machine, now);
+  if (constraints_.unresponsive(machine, now)) return unreachable(machine, now);
   if (responses_lost(machine, now)) return machine.assignments.empty() || !machine.token_acknowledged;
   return machine.draining && machine.assignments.empty();
 }
--- a/src/core/gang_checkpoint.cpp
+++ b/src/core/gang_checkpoint.cpp
@@ -24,7 +24,7 @@
         const Machine& machine = *assignment.machine;
         return assignment.observed && assignment.state == wire::TaskState::running &&
                machine.token_acknowledged && machine.undelivered_responses == 0 &&
-               !constraints_.silent(machine, now);
+               !constraints_.unresponsive(machine, now);
       });
   // What has run since the last checkpoint, as far as is known here, must be worth the time that saving
   // takes.
@@ -54,7 +54,7 @@
   if (job.expected_run_s - ran_s <= left_s) return;  // it may well end before
   if (spec.checkpoint_interval_s <= 0) {
     lifecycle_.abort_gang(job);  // nothing of it can be kept: the sooner it starts again elsewhere the better
-  } else if (left_s <= last_chance_to_save_s(state_.config(), spec) && left_s > spec.checkpoint_duration_s &&
+  } else if (left_s <= checkpoint_lead_time_s(state_.config(), spec) && left_s > spec.checkpoint_duration_s &&
              can_save(job, now)) {
     save_and_stop(job);
   }
--- a/src/core/gang_reservations.cpp
+++ b/src/core/gang_reservations.cpp
@@ -18,7 +18,8 @@
     : state_(state), constraints_(constraints), queue_(queue) {}
 
 void GangReservations::note_arrival(const Job& job, Time now) {
-  if (job.is_gang() && wants_quick_start(state_.config(), job.spec)) reserve_.note_arrival(job.spec, now);
+  if (job.is_gang() && has_quick_start_objective(state_.config(), job.spec))
+    reserve_.note_arrival(job.spec, now);
 }
 
 Job GangReservations::model_job(const wire::JobSpec& spec) const {
--- a/src/core/gang_scheduler.cpp
+++ b/src/core/gang_scheduler.cpp
@@ -31,11 +31,11 @@
   state_.count_scanned(machines.size());
   for (Machine* machine : machines) {
     if (machine->reserved_against(job, now)) continue;
-    const auto cost = cost_.of(job, *machine, largest_cpus);
+    const auto cost = cost_.compute(job, *machine, largest_cpus);
     if (!cost) continue;
     const auto fits = tasks_fitting(spec.task_resources, constraints_.free_capacity(*machine));
     GangCandidate candidate{machine, 0, *cost, fits};
-    if (!machine->has_image(spec.image)) candidate.fetch_s = cost_.fetch_s(job, *machine);
+    if (!machine->has_image(spec.image)) candidate.fetch_s = cost_.image_fetch_s(job, *machine);
     // All tasks proceed at the pace of the slowest.
     candidate.fetch_s += constants::kStragglerSignCost * machine->straggler_signs;
     groups[spec.same_zone ? machine->zone : std::string()].push_back(candidate);
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -70,7 +70,7 @@
 Job& LeaderStateMachine::add_job(const JobRecord& record, Revision version, Time now) {
   const double job_age_s = age_s(elected_ms_, record.submitted_ms) + (now - elected_at_);
   Job& job = state_.add_job(record.spec, version, now - std::max(0.0, job_age_s), now);
-  job.expected_run_s = run_time_estimator_.expected(record.spec.job_class, record.spec.estimated_run_s);
+  job.expected_run_s = run_time_estimator_.expected_run_s(record.spec.job_class, record.spec.estimated_run_s);
   gang_reservations_.note_arrival(job, now);
   queue_.invalidate();
   return job;
--- a/src/core/machine_health.cpp
+++ b/src/core/machine_health.cpp
@@ -92,7 +92,8 @@
 }
 
 void MachineHealth::drain_if_straggler(Machine& machine, Time now) {
-  if (machine.state != MachineState::up || machine.scale_in_requested || constraints_.silent(machine, now))
+  if (machine.state != MachineState::up || machine.scale_in_requested ||
+      constraints_.unresponsive(machine, now))
     return;
   if (straggler_signs(machine, now) < constants::kStragglerSignsThreshold) return;
   machine.draining = true;
--- a/src/core/objectives.cpp
+++ b/src/core/objectives.cpp
@@ -30,7 +30,7 @@
   return target;
 }
 
-bool wants_quick_start(const ClusterConfig& config, const wire::JobSpec& spec) {
+bool has_quick_start_objective(const ClusterConfig& config, const wire::JobSpec& spec) {
   const auto target = start_target_s(config, spec.job_class);
   return target && *target < constants::kQuickStartTarget;
 }
--- a/src/core/objectives.hpp
+++ b/src/core/objectives.hpp
@@ -1,4 +1,4 @@
-// What service-level objectives ask of a job.
+// Completion and start targets that a job has by the service-level objectives of its class.
 #pragma once
 
 #include <optional>
@@ -10,14 +10,16 @@
 
 namespace dockdyke::core {
 
-// Seconds after its submission at which the owners want the job done, the most ambitious first. Never empty:
-// a job without any objective or deadline has `kDefaultDeadline`.
+// Returns the times (s) after the job's submission by which it should be done, in ascending order: those of
+// its class's objectives, else the job's own deadline or `kDefaultDeadline`. Never empty.
 std::vector<double> completion_targets_s(const ClusterConfig& config, const Job& job);
 
-// Seconds within which the class wants its tasks started, by its most ambitious objective.
+// Returns the shortest time (s) within which an objective of the class requires tasks to start, or
+// std::nullopt if no objective does.
 std::optional<double> start_target_s(const ClusterConfig& config, const std::string& job_class);
 
-// The class wants starts sooner than a machine boots, so that capacity is held for its gangs.
-bool wants_quick_start(const ClusterConfig& config, const wire::JobSpec& spec);
+// Returns whether an objective requires the job's tasks to start in less than `kQuickStartTarget`. Capacity
+// is held in reserve for gangs with such an objective, since a new machine would take longer to boot.
+bool has_quick_start_objective(const ClusterConfig& config, const wire::JobSpec& spec);
 
 }  // namespace dockdyke::core
--- a/src/core/offering_selector.cpp
+++ b/src/core/offering_selector.cpp
@@ -51,8 +51,8 @@
   if (!job.spec.spot_allowed) return true;
   // However far away its objective is, no job waits for ever for a cheaper machine.
   if (now - job.queued_since >= constants::kSpotWaitTimeout) return true;
-  const double slack_s = queued.slo_deadline - now - job.expected_run_s - quickest_boot_s(state_, job);
-  return queued.slo_reachable && slack_s < constants::kOnDemandSlack;
+  const double slack_s = queued.slo_deadline - now - job.expected_run_s - shortest_boot_s(state_, job);
+  return queued.slo_achievable && slack_s < constants::kOnDemandSlack;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/placement_cost.cpp
+++ b/src/core/placement_cost.cpp
@@ -9,11 +9,12 @@
 PlacementCost::PlacementCost(const ClusterState& state, const SchedulingConstraints& constraints)
     : state_(state), constraints_(constraints) {}
 
-double PlacementCost::fetch_s(const Job& job, const Machine& machine) const {
+double PlacementCost::image_fetch_s(const Job& job, const Machine& machine) const {
   return job.spec.image_gb / std::max(constants::kMinImageFetchRate, state_.type_of(machine)->fetch_gb_per_s);
 }
 
-std::optional<double> PlacementCost::of(const Job& job, const Machine& machine, double largest_cpus) const {
+std::optional<double> PlacementCost::compute(const Job& job, const Machine& machine,
+                                             double largest_cpus) const {
   const auto& spec = job.spec;
   const auto free = constraints_.free_capacity(machine);
   if (!spec.task_resources.fits_into(free)) return std::nullopt;
@@ -24,8 +25,8 @@
   if (!machine.spot && spec.spot_allowed) cost += constants::kOnDemandCost;
   if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCost;
   if (!machine.has_image(spec.image)) {
-    const double fetch = fetch_s(job, machine);
-    cost += machine.fetches_image(spec.image) ? fetch * constants::kSharedImageFetchShare : fetch;
+    const double fetch_s = image_fetch_s(job, machine);
+    cost += machine.fetches_image(spec.image) ? fetch_s * constants::kSharedImageFetchShare : fetch_s;
   }
   return cost;
 }
--- a/src/core/preemption.hpp
+++ b/src/core/preemption.hpp
@@ -1,4 +1,4 @@
-// Preemption: stops tasks of less important jobs to make room for waiting ones (PROTOCOL, "Preemption").
+// Preemption: stops tasks of lower-priority jobs to free capacity for waiting jobs.
 #pragma once
 
 #include <cstddef>
@@ -13,49 +13,59 @@
 
 namespace dockdyke::core {
 
+// Selects and stops the tasks whose preemption loses the least work. Jobs within their team's guaranteed
+// share may preempt any job of another team that is not within its share, and are never preempted.
+// Gangs neither preempt nor are preempted.
 class Preemption {
  public:
   Preemption(ClusterState& state, const SchedulingConstraints& constraints, JobQueue& queue);
 
-  // Makes room for waiting jobs. At most once in `kPreemptionInterval`.
+  // Preempts tasks for the jobs that have waited long enough. Does nothing if called again within
+  // `kPreemptionInterval`.
   void run(Time now);
 
  private:
-  // A task that may be stopped, and what that costs in seconds of lost work.
+  // A task that may be preempted.
   struct Victim {
-    double cost_s = 0;
+    double cost_s = 0;  // lost work, plus a penalty by priority
     AssignedTask task;
   };
-  // What stopping some tasks of one machine costs, and the room that it makes.
+  // A set of tasks to preempt on one machine.
   struct Plan {
     Machine* machine = nullptr;
     std::vector<AssignedTask> victims;
-    std::size_t tasks = 0;  // of the waiting job that fit then
-    double cost_per_task = 0;
-    bool above_low_priority = false;  // some victim is more than work for idle hours
+    std::size_t fitting_tasks = 0;    // tasks of the waiting job that fit once the victims have ended
+    double cost_per_task = 0;         // per fitting task
+    bool above_low_priority = false;  // some victim has a priority above `low`
   };
-  // Capacity that is or will be there for jobs ahead in the queue.
+  // Capacity, free now or once stopped tasks have ended, that jobs ahead in the queue will use.
   using ClaimedCapacity = std::map<const Machine*, wire::Resources, ById>;
-  // What one waiting job finds.
-  struct Search {
-    std::size_t wanted = 0;        // tasks
-    bool capacity_coming = false;  // for one task at least, whoever else counts on it
+  // The tasks of one waiting job that need preemption, and the plans to choose from.
+  struct Demand {
+    std::size_t tasks = 0;           // that do not fit without preemption
+    bool capacity_expected = false;  // one task fits, now or after stops, before claims of other jobs
     std::vector<Plan> plans;
   };
 
-  bool may_preempt(const QueuedJob& claimant, const Job& victim) const;
-  std::vector<Victim> victims_on(const QueuedJob& claimant, const Machine& machine, Time now) const;
-  std::optional<Plan> plan_for(const QueuedJob& claimant, Machine& machine, wire::Resources free,
-                               std::size_t wanted, Time now) const;
-  // What is free on the machine once all tasks that are being stopped have ended.
+  bool may_preempt(const QueuedJob& preemptor, const Job& victim) const;
+  // Returns the tasks on the machine that the preemptor may preempt, in ascending order of cost.
+  std::vector<Victim> victims_on(const QueuedJob& preemptor, const Machine& machine, Time now) const;
+  // Adds victims in ascending order of cost until `max_tasks` tasks of the preemptor fit, or one task if a
+  // victim is above the lowest priority. Returns std::nullopt if no task fits. `free` is the capacity that
+  // the preemptor can use without victims.
+  std::optional<Plan> make_plan(const QueuedJob& preemptor, Machine& machine, wire::Resources free,
+                                std::size_t max_tasks, Time now) const;
+  // Returns the machine's free capacity once all tasks that are being stopped have ended.
   wire::Resources capacity_after_stops(const Machine& machine) const;
-  Search search(const QueuedJob& claimant, const std::vector<Machine*>& machines, ClaimedCapacity& claimed,
-                Time now);
-  void make_room_for(const QueuedJob& claimant, const std::vector<Machine*>& machines,
+  // Claims capacity that is free or will be free by earlier stops, and makes plans for the remaining tasks.
+  Demand find_demand(const QueuedJob& preemptor, const std::vector<Machine*>& machines,
                      ClaimedCapacity& claimed, Time now);
-  // The lowest priority of any job with assignments.
+  void preempt_for(const QueuedJob& preemptor, const std::vector<Machine*>& machines,
+                   ClaimedCapacity& claimed, Time now);
+  // Returns the lowest priority among the jobs with assignments, or std::nullopt if there is no such job.
   std::optional<wire::Priority> lowest_assigned_priority() const;
-  bool waits_long_enough(const Job& job, Time now) const;
+  // Returns whether the job has waited for `kPreemptionDelay` and its backoff and quota allow further tasks.
+  bool eligible_to_preempt(const Job& job, Time now) const;
 
   ClusterState& state_;
   const SchedulingConstraints& constraints_;
--- a/src/core/run_time_estimator.hpp
+++ b/src/core/run_time_estimator.hpp
@@ -1,4 +1,4 @@
-// Corrects owners' estimates of run times by what tasks of the same class really took.
+// Corrects owners' run time estimates by the observed run times of tasks of the same class.
 #pragma once
 
 #include <map>
@@ -8,13 +8,14 @@
 
 class RunTimeEstimator {
  public:
-  // A task of this class was estimated to run one time and ran another (s).
+  // Updates the correction of the class with the estimated and the observed run time (s) of a completed task.
   void observe(const std::string& job_class, double estimated_run_s, double run_s);
-  // The expected run time (s) of a task; the owner's estimate where nothing was observed of the class.
-  double expected(const std::string& job_class, double estimated_run_s) const;
+  // Returns the corrected run time (s), or the estimate itself if no task of the class has been observed.
+  double expected_run_s(const std::string& job_class, double estimated_run_s) const;
 
  private:
-  std::map<std::string, double> log_ratio_;  // of observed to estimated run times, by class, smoothed
+  // Logarithm of the ratio of observed to estimated run times, exponentially smoothed, by class.
+  std::map<std::string, double> log_ratios_;
 };
 
 }  // namespace dockdyke::core
--- a/src/core/scarce_types.cpp
+++ b/src/core/scarce_types.cpp
@@ -45,7 +45,7 @@
     }
   }
   const double slack_s = queued.slo_deadline - now - job.expected_run_s;
-  if (boot_s == 0 || !queued.slo_reachable || slack_s < boot_s) return {};
+  if (boot_s == 0 || !queued.slo_achievable || slack_s < boot_s) return {};
   return avoided;
 }
 
--- a/src/core/scheduling_constraints.cpp
+++ b/src/core/scheduling_constraints.cpp
@@ -7,12 +7,12 @@
 
 namespace dockdyke::core {
 
-bool SchedulingConstraints::silent(const Machine& machine, Time now) const {
+bool SchedulingConstraints::unresponsive(const Machine& machine, Time now) const {
   return now - machine.last_heartbeat_at >
          constants::kSilentAfterHeartbeats * state_.config().heartbeat_interval_s;
 }
 
-bool SchedulingConstraints::boots_late(const Machine& machine, Time now) const {
+bool SchedulingConstraints::boot_overdue(const Machine& machine, Time now) const {
   const auto* type = state_.type_of(machine);
   return type && now - machine.rented_at > constants::kLateBootFactor * type->boot_s;
 }
@@ -22,7 +22,7 @@
          !machine.scale_in_requested && !machine.terminates_at && !machine.runs_unknown_tasks &&
          machine.failed_jobs.size() < constants::kFaultyMachineJobs &&
          machine.undelivered_responses < constants::kUndeliveredResponsesThreshold &&
-         now >= machine.assignments_paused_until && !silent(machine, now);
+         now >= machine.assignments_paused_until && !unresponsive(machine, now);
 }
 
 wire::Resources SchedulingConstraints::free_capacity(const Machine& machine) const {
@@ -48,15 +48,17 @@
   for (const auto& [id, machine] : state_.machines())
     if (!machine.zone.empty()) zones.try_emplace(machine.zone, kUnlimited);
 
-  std::map<std::string, std::size_t> taken;
-  for (const auto& [index, assignment] : job.assignments) ++taken[assignment.machine->zone];
-  // A task on a machine whose zone is not known yet might be in any of them.
-  const std::size_t unknown = taken.contains("") ? taken[""] : 0;
-  const std::size_t most_per_zone = (static_cast<std::size_t>(job.spec.task_count) + 1) / 2;
+  std::map<std::string, std::size_t> tasks_by_zone;
+  for (const auto& [index, assignment] : job.assignments) ++tasks_by_zone[assignment.machine->zone];
+  // A task on a machine whose zone is not known yet counts in every zone.
+  const std::size_t in_unknown_zone = tasks_by_zone.contains("") ? tasks_by_zone[""] : 0;
+  const std::size_t max_per_zone = (static_cast<std::size_t>(job.spec.task_count) + 1) / 2;
   for (auto& [zone, capacity] : zones) {
-    const std::size_t here = (taken.contains(zone) ? taken[zone] : 0) + unknown;
-    if (job.spec.spread) capacity = most_per_zone > here ? most_per_zone - here : 0;
-    if (job.spec.same_zone && !taken.empty() && (unknown > 0 || !taken.contains(zone))) capacity = 0;
+    const std::size_t in_zone = (tasks_by_zone.contains(zone) ? tasks_by_zone[zone] : 0) + in_unknown_zone;
+    if (job.spec.spread) capacity = max_per_zone > in_zone ? max_per_zone - in_zone : 0;
+    if (job.spec.same_zone && !tasks_by_zone.empty() &&
+        (in_unknown_zone > 0 || !tasks_by_zone.contains(zone)))
+      capacity = 0;
   }
   return zones;
 }
@@ -66,10 +68,10 @@
   const Team* team = state_.config().find_team(job.spec.team);
   if (!team) return kUnlimited;
   const auto used = state_.team_usage(job.spec.team);
-  constexpr double kRounding = 1e-6;
+  constexpr double kRoundingTolerance = 1e-6;
   auto headroom = [&](double quota, double usage, double per_task) -> std::size_t {
     if (quota <= 0 || per_task <= 0) return kUnlimited;
-    const double tasks = (quota - usage + kRounding) / per_task;
+    const double tasks = (quota - usage + kRoundingTolerance) / per_task;
     return tasks <= 0 ? 0 : static_cast<std::size_t>(std::min(tasks, static_cast<double>(kUnlimited)));
   };
   return std::min(headroom(team->quota.cpus, used.cpus, job.spec.task_resources.cpus),
--- a/src/core/task_fit.cpp
+++ b/src/core/task_fit.cpp
@@ -15,14 +15,15 @@
 }
 
 std::size_t tasks_fitting(const wire::Resources& task, const wire::Resources& free) {
-  constexpr double kRounding = 1e-6;
+  constexpr double kRoundingTolerance = 1e-6;
   double count = constants::kMaxDemandTasks;
-  const auto bound = [&](double needed, double available) {
-    if (needed > 0) count = std::min(count, std::floor(std::max(0.0, available + kRounding) / needed));
+  const auto limit_count = [&](double needed, double available) {
+    if (needed > 0)
+      count = std::min(count, std::floor(std::max(0.0, available + kRoundingTolerance) / needed));
   };
-  bound(task.cpus, free.cpus);
-  bound(task.gpus, free.gpus);
-  bound(task.memory_gb, free.memory_gb);
+  limit_count(task.cpus, free.cpus);
+  limit_count(task.gpus, free.gpus);
+  limit_count(task.memory_gb, free.memory_gb);
   return static_cast<std::size_t>(count);
 }
 
--- a/src/core/task_fit.hpp
+++ b/src/core/task_fit.hpp
@@ -1,4 +1,4 @@
-// Which machine types can run a job's tasks, and how many tasks fit into free capacity.
+// Checks on which machine types a job's tasks can run, and how many tasks fit into free capacity.
 #pragma once
 
 #include <cstddef>
@@ -7,10 +7,10 @@
 
 namespace dockdyke::core {
 
-// The job allows the type, and a task of it fits on an empty machine.
+// Returns whether the job allows the type and one of its tasks fits on an empty machine of the type.
 bool can_run_on(const wire::JobSpec& spec, const wire::MachineType& type);
 
-// At most `kMaxDemandTasks`, also where a task needs nothing.
+// Returns how many tasks of this size fit into the free capacity, at most `kMaxDemandTasks`.
 std::size_t tasks_fitting(const wire::Resources& task, const wire::Resources& free);
 
 }  // namespace dockdyke::core
--- a/src/core/task_placer.cpp
+++ b/src/core/task_placer.cpp
@@ -18,7 +18,7 @@
       scarce_types_(scarce_types),
       gang_scheduler_(gang_scheduler) {}
 
-// ---- A pass -----------------------------------------------------------------------------------------------
+// ---- Assignment pass --------------------------------------------------------------------------------------
 
 void TaskPlacer::assign_tasks(Time now) {
   if (!state_.assignment_pass_requested()) return;
@@ -27,15 +27,15 @@
   const auto& queue = queue_.ordered(now);
   Pass pass = begin_pass(queue, now);
   if (!pass.machines.empty()) {
-    // First jobs whose image is there and those that can't wait for one; then whoever is next.
-    for (const bool any_image : {false, true}) {
-      serve_queue(queue, pass, any_image, now);
+    // First places jobs on machines that have their image, and jobs that cannot wait; then all other jobs.
+    for (const bool allow_image_fetch : {false, true}) {
+      process_queue(queue, pass, allow_image_fetch, now);
       if (pass.assigned < constants::kMaxAssignmentsPerPass) continue;
       state_.request_assignment_pass();
       return;
     }
   }
-  state_.request_assignment_pass(queue_.stale());  // some job is not in the queue yet
+  state_.request_assignment_pass(queue_.stale());  // the queue does not reflect the latest changes yet
 }
 
 TaskPlacer::Pass TaskPlacer::begin_pass(const std::vector<QueuedJob>& queue, Time now) {
@@ -44,8 +44,7 @@
   Pass pass;
   pass.smallest_task = smallest.size();
   pass.largest_free.resize(state_.types().size());
-  // Once for all jobs: looked at for each of them again, full machines took most of a large fleet's processor
-  // time.
+  // Full machines are skipped here once, instead of once per job.
   for (Machine* machine : state_.awaiting_response()) {
     state_.count_scanned(1);
     if (machine->type_number >= state_.types().size()) continue;
@@ -65,19 +64,20 @@
   return false;
 }
 
-void TaskPlacer::serve_queue(const std::vector<QueuedJob>& queue, Pass& pass, bool any_image, Time now) {
+void TaskPlacer::process_queue(const std::vector<QueuedJob>& queue, Pass& pass, bool allow_image_fetch,
+                               Time now) {
   for (const auto& queued : queue) {
     Job& job = *queued.job;
     state_.count_scanned(1);
     if (job.waiting_tasks() == 0 || now < job.backoff_until || !may_fit(job, pass)) continue;
     if (job.is_gang()) {
-      if (!any_image) gang_scheduler_.assign(job, pass.machines, now);
+      if (!allow_image_fetch) gang_scheduler_.assign(job, pass.machines, now);
       continue;
     }
     const bool waited_for_image = now - job.queued_since >= constants::kImageLocalityDelay;
     const std::size_t limit = constants::kMaxAssignmentsPerPass - pass.assigned;
     const std::size_t assigned = assign_job(
-        queued, pass.machines, any_image || queued.latency_critical || waited_for_image, limit, now);
+        queued, pass.machines, allow_image_fetch || queued.latency_critical || waited_for_image, limit, now);
     pass.assigned += assigned;
     if (assigned > 0)
       std::erase_if(pass.machines, [&](const Machine* machine) {
@@ -87,27 +87,27 @@
   }
 }
 
-// ---- A job ------------------------------------------------------------------------------------------------
+// ---- Assignment of a job ----------------------------------------------------------------------------------
 
 std::vector<TaskPlacer::Candidate> TaskPlacer::find_candidates(const QueuedJob& queued,
                                                                const std::vector<Machine*>& machines,
-                                                               bool any_image, Time now) {
+                                                               bool allow_image_fetch, Time now) {
   const Job& job = *queued.job;
   const auto& image = job.spec.image;
   const auto avoided = scarce_types_.avoided_by(queued, now);
   const double largest_cpus = state_.largest_cpus();
-  // Within a round all machines send a heartbeat, and the better ones among them may suffice. Strewn over
-  // whatever came first, the work of a quiet hour kept the whole fleet up.
+  // Every machine sends a heartbeat within one round, so a job that can wait uses open tiers only. Otherwise
+  // light load would spread over the whole fleet and prevent scale-in.
   const double waited_s = now - job.queued_since;
-  const bool wait_for_better =
+  const bool open_tiers_only =
       !queued.latency_critical && job.spec.spot_allowed && waited_s < constraints_.heartbeat_round_s();
   std::vector<Candidate> candidates;
   for (Machine* machine : machines) {
     state_.count_scanned(1);
     if (avoided.contains(machine->type_number) || machine->reserved_against(job, now)) continue;
-    if (wait_for_better && !queue_.tiers().open(*machine)) continue;
-    if (!any_image && !machine->has_image(image) && !machine->fetches_image(image)) continue;
-    if (const auto cost = cost_.of(job, *machine, largest_cpus)) candidates.push_back({*cost, machine});
+    if (open_tiers_only && !queue_.tiers().in_open_tier(*machine)) continue;
+    if (!allow_image_fetch && !machine->has_image(image) && !machine->fetches_image(image)) continue;
+    if (const auto cost = cost_.compute(job, *machine, largest_cpus)) candidates.push_back({*cost, machine});
   }
   std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
     return std::tie(a.cost, a.machine->id) < std::tie(b.cost, b.machine->id);
@@ -116,18 +116,19 @@
 }
 
 std::size_t TaskPlacer::assign_job(const QueuedJob& queued, const std::vector<Machine*>& machines,
-                                   bool any_image, std::size_t limit, Time now) {
+                                   bool allow_image_fetch, std::size_t limit, Time now) {
   Job& job = *queued.job;
-  // A job that failed on every machine in reach starts over with all of them.
+  // After failures on this many machines the job is at fault rather than the machines, so it may use them
+  // again.
   if (job.failed_machines.size() >= constants::kSuspectJobMachines) job.failed_machines.clear();
-  // Of a starving job the first task is what counts; with the rest it stands in the queue.
+  // A starving job gets one task; after that it is no longer starving and keeps its normal queue position.
   if (queued.starving) limit = std::min<std::size_t>(1, limit);
   limit = std::min(limit, constraints_.quota_headroom(job));
-  const auto candidates = find_candidates(queued, machines, any_image, now);
+  const auto candidates = find_candidates(queued, machines, allow_image_fetch, now);
   auto zones = constraints_.zone_capacity(job);
   std::size_t assigned = 0;
   for (const auto& [cost, machine] : candidates) {
-    // A machine is filled before the next is begun: one fetch of the image serves all its tasks.
+    // Fills one machine before the next, so that one image fetch serves as many tasks as possible.
     while (assigned < limit && job.waiting_tasks() > 0 && has_zone_capacity(zones, machine->zone) &&
            job.spec.task_resources.fits_into(constraints_.free_capacity(*machine))) {
       assign_next_task(job, *machine, now);
--- a/src/core/task_placer.hpp
+++ b/src/core/task_placer.hpp
@@ -1,8 +1,7 @@
 // Assigns waiting tasks to machines.
 //
-// Commands travel only in responses to heartbeats, so a task is assigned to a machine when that machine
-// awaits a response and not before: on any other it would wait up to a heartbeat interval, while others
-// become free.
+// Commands travel only in responses to heartbeats, so tasks are assigned only to machines that await a
+// response. On any other machine a task would wait for up to a heartbeat interval before it starts.
 #pragma once
 
 #include <cstddef>
@@ -19,13 +18,14 @@
 
 namespace dockdyke::core {
 
+// Assigns tasks of the waiting jobs in queue order, each to the machine with the lowest cost.
 class TaskPlacer {
  public:
   TaskPlacer(ClusterState& state, const SchedulingConstraints& constraints, JobQueue& queue,
              TaskLog& task_log, const ScarceTypes& scarce_types, GangScheduler& gang_scheduler);
 
-  // One pass over the queue, where one was requested. Ends after `kMaxAssignmentsPerPass` assignments; the
-  // rest follows with the next pass.
+  // Runs one pass over the queue if one was requested. A pass ends after `kMaxAssignmentsPerPass` assignments
+  // and then requests the next one.
   void assign_tasks(Time now);
 
  private:
@@ -33,23 +33,26 @@
     double cost = 0;
     Machine* machine = nullptr;
   };
-  // Machines that may take work in this pass.
+  // State of one pass over the queue.
   struct Pass {
-    std::vector<Machine*> machines;
+    std::vector<Machine*> machines;             // that await a response and accept work
     std::vector<wire::Resources> largest_free;  // by machine type
-    wire::Resources smallest_task;              // of the waiting jobs
-    std::size_t assigned = 0;
+    wire::Resources smallest_task;              // smallest amounts that a waiting task requests
+    std::size_t assigned = 0;                   // tasks
   };
 
   Pass begin_pass(const std::vector<QueuedJob>& queue, Time now);
-  // Goes through the queue. With `any_image`, jobs may also use machines that lack their image.
-  void serve_queue(const std::vector<QueuedJob>& queue, Pass& pass, bool any_image, Time now);
+  // Assigns tasks of all waiting jobs. Jobs may use machines that lack their image only with
+  // `allow_image_fetch`, or if they cannot wait for a machine that has it.
+  void process_queue(const std::vector<QueuedJob>& queue, Pass& pass, bool allow_image_fetch, Time now);
+  // Returns whether a task of the job fits into the largest free capacity of some machine type in this pass.
   bool may_fit(const Job& job, const Pass& pass) const;
-  // Assigns as many of the job's tasks as possible, at most `limit`; returns how many.
-  std::size_t assign_job(const QueuedJob& queued, const std::vector<Machine*>& machines, bool any_image,
-                         std::size_t limit, Time now);
+  // Assigns as many of the job's tasks as possible, at most `limit`. Returns the number of assigned tasks.
+  std::size_t assign_job(const QueuedJob& queued, const std::vector<Machine*>& machines,
+                         bool allow_image_fetch, std::size_t limit, Time now);
+  // Returns the machines on which a task of the job can start, in ascending order of cost.
   std::vector<Candidate> find_candidates(const QueuedJob& queued, const std::vector<Machine*>& machines,
-                                         bool any_image, Time now);
+                                         bool allow_image_fetch, Time now);
   void assign_next_task(Job& job, Machine& machine, Time now);
 
   ClusterState& state_;
--- a/src/core/termination_notices.cpp
+++ b/src/core/termination_notices.cpp
@@ -29,7 +29,7 @@
   TaskAssignment& assignment = task.assignment();
   const double remaining_s = std::max(0.0, task.job->expected_run_s - assignment.ran_s(now));
   if (spec.checkpoint_interval_s > 0) {
-    if (left_s <= last_chance_to_save_s(state_.config(), spec)) assignment.stop(spec.checkpoint_duration_s);
+    if (left_s <= checkpoint_lead_time_s(state_.config(), spec)) assignment.stop(spec.checkpoint_duration_s);
   } else if (spec.kind == wire::JobKind::service || remaining_s > left_s) {
     assignment.stop(0);  // it can't end here: the sooner it starts again elsewhere the better
   }
--- a/tests/core/job_queue_test.cpp
+++ b/tests/core/job_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which waiting jobs are served, by the queue and the state it reads.
+// Tests of the queue order of waiting jobs.
 #include "core/job_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 class JobQueueTest : public ::testing::Test {
  protected:
-  static ClusterConfig with_fair_share() {
+  static ClusterConfig config_with_guaranteed_share() {
     auto config = cluster_config();
     config.teams[1].guaranteed_share.cpus = 8;
     return config;
@@ -18,8 +18,8 @@
 
   JobQueueTest() { state.update_types({small_type()}); }
 
-  Job& add(const std::string& id, Time submitted, wire::Priority priority = wire::Priority::normal,
-           const std::string& team = "team") {
+  Job& add_job(const std::string& id, Time submitted, wire::Priority priority = wire::Priority::normal,
+               const std::string& team = "team") {
     auto spec = job_spec(id, 2);
     spec.priority = priority;
     spec.team = team;
@@ -27,67 +27,68 @@
     queue.invalidate();
     return job;
   }
-  std::vector<std::string> order() {
+  std::vector<std::string> queued_job_ids() {
     std::vector<std::string> ids;
     for (const auto& queued : queue.ordered(now)) ids.push_back(queued.job->spec.id.value);
     return ids;
   }
 
   Time now = 50;
-  ClusterState state{with_fair_share(), FencingToken(7)};
+  ClusterState state{config_with_guaranteed_share(), FencingToken(7)};
   SchedulingConstraints constraints{state};
   RunTimeEstimator estimator;
   JobQueue queue{state, constraints, estimator};
 };
 
-TEST_F(JobQueueTest, OrdersByPriorityThenByTheFirstObjective) {
-  add("job-1", 20);
-  add("job-2", 10);
-  add("job-3", 30, wire::Priority::high);
-  EXPECT_EQ(order(), (std::vector<std::string>{"job-3", "job-2", "job-1"}));
+TEST_F(JobQueueTest, OrdersByPriorityThenByEarliestSloDeadline) {
+  add_job("job-1", 20);
+  add_job("job-2", 10);
+  add_job("job-3", 30, wire::Priority::high);
+  EXPECT_EQ(queued_job_ids(), (std::vector<std::string>{"job-3", "job-2", "job-1"}));
 }
 
-TEST_F(JobQueueTest, PutsStarvingJobsFirstWhateverTheirPriority) {
-  add("job-1", 40, wire::Priority::critical);
-  add("job-2", now - constants::kStarvationThreshold, wire::Priority::low);
-  EXPECT_EQ(order(), (std::vector<std::string>{"job-2", "job-1"}));
+TEST_F(JobQueueTest, OrdersStarvingJobsFirstRegardlessOfPriority) {
+  add_job("job-1", 40, wire::Priority::critical);
+  add_job("job-2", now - constants::kStarvationThreshold, wire::Priority::low);
+  EXPECT_EQ(queued_job_ids(), (std::vector<std::string>{"job-2", "job-1"}));
 }
 
-TEST_F(JobQueueTest, PutsJobsWithinTheirTeamsFairShareBeforeOthers) {
-  add("job-1", 10, wire::Priority::high);
-  const Job& first = add("job-2", 20, wire::Priority::low, "other");  // 8 CPUs: all of the share
-  const Job& second = add("job-3", 30, wire::Priority::low, "other");
-  EXPECT_EQ(order(), (std::vector<std::string>{"job-2", "job-1", "job-3"}));
+TEST_F(JobQueueTest, OrdersJobsWithinFairShareBeforeOthers) {
+  add_job("job-1", 10, wire::Priority::high);
+  const Job& first =
+      add_job("job-2", 20, wire::Priority::low, "other");  // 8 CPUs: the whole guaranteed share
+  const Job& second = add_job("job-3", 30, wire::Priority::low, "other");
+  EXPECT_EQ(queued_job_ids(), (std::vector<std::string>{"job-2", "job-1", "job-3"}));
   EXPECT_TRUE(queue.within_fair_share(first));
   EXPECT_FALSE(queue.within_fair_share(second));
 }
 
-TEST_F(JobQueueTest, LeavesOutJobsThatWaitForNothing) {
-  add("job-1", 10);
-  Job& assigned = add("job-2", 20);
+TEST_F(JobQueueTest, ExcludesJobsWithoutWaitingTasks) {
+  add_job("job-1", 10);
+  Job& assigned = add_job("job-2", 20);
   assigned.next_unattempted = assigned.spec.task_count;
-  Job& cancelled = add("job-3", 30);
+  Job& cancelled = add_job("job-3", 30);
   cancelled.cancelled = true;
-  EXPECT_EQ(order(), (std::vector<std::string>{"job-1"}));
+  EXPECT_EQ(queued_job_ids(), (std::vector<std::string>{"job-1"}));
 }
 
-TEST_F(JobQueueTest, ForgetsARemovedJobWithoutBeingOrderedAnew) {
-  add("job-1", 10);
-  const Job& removed = add("job-2", 20);
-  ASSERT_EQ(order().size(), 2u);
+TEST_F(JobQueueTest, RemovesJobWithoutSortingAgain) {
+  add_job("job-1", 10);
+  const Job& removed = add_job("job-2", 20);
+  ASSERT_EQ(queued_job_ids().size(), 2u);
   queue.remove(removed);
   state.remove_job(JobId("job-2"), now);
-  EXPECT_EQ(order(), (std::vector<std::string>{"job-1"}));
+  EXPECT_EQ(queued_job_ids(), (std::vector<std::string>{"job-1"}));
 }
 
-TEST_F(JobQueueTest, OrdersALongQueueOnlyOnceInAnInterval) {
-  for (std::size_t i = 0; i < constants::kSmallQueueSize; ++i) add("job-" + std::to_string(100 + i), 10);
-  ASSERT_EQ(order().size(), constants::kSmallQueueSize);
-  add("job-1", 10);
-  EXPECT_EQ(order().size(), constants::kSmallQueueSize) << "the order is not old enough";
+TEST_F(JobQueueTest, SortsLongQueueAtMostOncePerInterval) {
+  for (std::size_t i = 0; i < constants::kSmallQueueSize; ++i) add_job("job-" + std::to_string(100 + i), 10);
+  ASSERT_EQ(queued_job_ids().size(), constants::kSmallQueueSize);
+  add_job("job-1", 10);
+  EXPECT_EQ(queued_job_ids().size(), constants::kSmallQueueSize) << "sorted less than one interval ago";
   EXPECT_TRUE(queue.stale());
   now += constants::kQueueOrderInterval;
-  EXPECT_EQ(order().size(), constants::kSmallQueueSize + 1);
+  EXPECT_EQ(queued_job_ids().size(), constants::kSmallQueueSize + 1);
 }
 
 }  // namespace dockdyke::testing
--- a/tests/core/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -1,4 +1,5 @@
-// Scenarios about serving well: where tasks go, which machines are rented, kept and returned.
+// Tests of task placement, preemption, scale-out, scale-in and machine health through the leader's state
+// machine.
 #include "cluster_fixture.hpp"
 #include "constants.hpp"
 
@@ -10,7 +11,7 @@
 
 class PlacementTest : public ClusterTest {};
 
-TEST_F(PlacementTest, SpreadJobPutsAtMostHalfIntoAZone) {
+TEST_F(PlacementTest, SpreadJobPlacesAtMostHalfPerZone) {
   loaded();
   auto first = ready_worker("n-1", "a");
   auto second = ready_worker("n-2", "a");
@@ -18,14 +19,14 @@
   spec.spread = true;
   submit(spec);
   EXPECT_EQ(count(exchange(first), CommandKind::start) + count(exchange(second), CommandKind::start), 2u);
-  auto far = ready_worker("n-3", "b");
+  auto third = ready_worker("n-3", "b");
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 3u);
 }
 
-TEST_F(PlacementTest, OneZoneJobStaysWhereItsFirstTaskIs) {
+TEST_F(PlacementTest, SameZoneJobStaysInZoneOfFirstTask) {
   loaded();
   auto first = ready_worker("n-1", "a");
-  auto far = ready_worker("n-2", "b");
+  auto second = ready_worker("n-2", "b");
   auto spec = job_spec("job-1", 4);
   spec.same_zone = true;
   submit(spec);
@@ -37,7 +38,7 @@
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u);
 }
 
-TEST_F(PlacementTest, JobThatMayNotUseSpotMachinesWaitsForAnother) {
+TEST_F(PlacementTest, NoSpotJobWaitsForOnDemandMachine) {
   loaded();
   auto spot = ready_worker("n-1", "a", true);
   auto spec = job_spec("job-1", 1);
@@ -49,60 +50,60 @@
   EXPECT_FALSE(seen<RequestScaleOut>()[0].request.spot);
 }
 
-TEST_F(PlacementTest, UrgentJobGoesFirst) {
+TEST_F(PlacementTest, HigherPriorityJobIsPlacedFirst) {
   loaded();
   submit(job_spec("job-1", 2));
-  auto urgent = job_spec("job-2", 2);
-  urgent.priority = wire::Priority::high;
-  submit(urgent);
+  auto high_priority = job_spec("job-2", 2);
+  high_priority.priority = wire::Priority::high;
+  submit(high_priority);
   auto worker = ready_worker("n-1");
   EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.size(), 2u);
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 0u);
 }
 
-TEST_F(PlacementTest, WaitingWorkRentsTheCheapestKindAndTriesTheNextWhenRefused) {
+TEST_F(PlacementTest, RefusedScaleOutFallsBackToNextCheapestOffering) {
   loaded();
   submit(job_spec("job-1", 2));
   pass(6);
-  auto rents = seen<RequestScaleOut>();
-  ASSERT_EQ(rents.size(), 1u);
-  EXPECT_TRUE(rents[0].request.spot);
-  EXPECT_EQ(rents[0].request.count, 1u);
-  cluster.apply(ScaleOutRefused{rents[0].request.id}, now);
+  auto scale_outs = seen<RequestScaleOut>();
+  ASSERT_EQ(scale_outs.size(), 1u);
+  EXPECT_TRUE(scale_outs[0].request.spot);
+  EXPECT_EQ(scale_outs[0].request.count, 1u);
+  cluster.apply(ScaleOutRefused{scale_outs[0].request.id}, now);
   pass(5);
-  rents = seen<RequestScaleOut>();
-  ASSERT_EQ(rents.size(), 2u);
-  EXPECT_TRUE(rents[1].request.spot);
-  EXPECT_NE(rents[1].request.zone, rents[0].request.zone);
-  EXPECT_NE(rents[1].request.id, rents[0].request.id);
-  cluster.apply(ScaleOutRefused{rents[1].request.id}, now);
+  scale_outs = seen<RequestScaleOut>();
+  ASSERT_EQ(scale_outs.size(), 2u);
+  EXPECT_TRUE(scale_outs[1].request.spot);
+  EXPECT_NE(scale_outs[1].request.zone, scale_outs[0].request.zone);
+  EXPECT_NE(scale_outs[1].request.id, scale_outs[0].request.id);
+  cluster.apply(ScaleOutRefused{scale_outs[1].request.id}, now);
   pass(5);
-  rents = seen<RequestScaleOut>();
-  for (const auto& each : rents)
-    EXPECT_TRUE(each.request.spot) << "not an ordinary one while the job has time to wait";
+  scale_outs = seen<RequestScaleOut>();
+  for (const auto& scale_out : scale_outs)
+    EXPECT_TRUE(scale_out.request.spot) << "no on-demand machine while the job can still wait";
   for (int i = 0; i < 20 && seen<RequestScaleOut>().back().request.spot; ++i) {
     pass(5);
-    rents = seen<RequestScaleOut>();
-    if (rents.back().request.spot) cluster.apply(ScaleOutRefused{rents.back().request.id}, now);
+    scale_outs = seen<RequestScaleOut>();
+    if (scale_outs.back().request.spot) cluster.apply(ScaleOutRefused{scale_outs.back().request.id}, now);
   }
   EXPECT_FALSE(seen<RequestScaleOut>().back().request.spot);
   EXPECT_LE(now, 75);
 }
 
-TEST_F(PlacementTest, RentOfAnEarlierLeaderIsAskedAgainUnderItsName) {
+TEST_F(PlacementTest, ScaleOutOfPreviousLeaderIsResentUnderItsId) {
   cluster.apply(ScaleOutLoaded{{ScaleOutId("r-20-1"), "small", "a", true, 2}}, now);
   loaded();
-  const auto rents = seen<RequestScaleOut>();
-  ASSERT_EQ(rents.size(), 1u);
-  EXPECT_EQ(rents[0].request.id, ScaleOutId("r-20-1"));
-  EXPECT_TRUE(rents[0].recorded);
+  const auto scale_outs = seen<RequestScaleOut>();
+  ASSERT_EQ(scale_outs.size(), 1u);
+  EXPECT_EQ(scale_outs[0].request.id, ScaleOutId("r-20-1"));
+  EXPECT_TRUE(scale_outs[0].recorded);
   cluster.apply(ScaleOutGranted{ScaleOutId("r-20-1"), {MachineId("n-1"), MachineId("n-2")}}, now);
   submit(job_spec("job-1", 4));
   pass(10);
-  EXPECT_EQ(seen<RequestScaleOut>().size(), 1u) << "the booting machines are enough";
+  EXPECT_EQ(seen<RequestScaleOut>().size(), 1u) << "the booting machines suffice";
 }
 
-TEST_F(PlacementTest, NearlyDoneTasksAreWaitedForBeforeRenting) {
+TEST_F(PlacementTest, ScaleOutWaitsForNearlyDoneTasks) {
   loaded();
   auto worker = ready_worker("n-1");
   submit(job_spec("job-1", 2));
@@ -114,7 +115,7 @@
     pass(2);
     exchange(worker);
   }
-  submit(job_spec("job-2", 2));  // 38 s into tasks of 40 s
+  submit(job_spec("job-2", 2));  // the running tasks have run for 38 of 40 s
   for (int i = 0; i < 3; ++i) {
     pass(2);
     exchange(worker);
@@ -122,7 +123,7 @@
   EXPECT_TRUE(seen<RequestScaleOut>().empty());
 }
 
-TEST_F(PlacementTest, EmptyMachineGoesBackOnlyAfterAWhile) {
+TEST_F(PlacementTest, EmptyMachineIsScaledInOnlyAfterDelay) {
   loaded();
   auto worker = ready_worker("n-1");
   for (int i = 0; i < 5; ++i) {
@@ -138,7 +139,7 @@
   EXPECT_EQ(seen<RequestScaleIn>()[0].machines, std::vector<MachineId>{MachineId("n-1")});
 }
 
-TEST_F(PlacementTest, LastingWorkOnAnOrdinaryMachineRentsASpotOneAndItsEndStopsThat) {
+TEST_F(PlacementTest, SpotReplacementIsRequestedOnlyWhileOnDemandWorkLasts) {
   loaded();
   auto worker = ready_worker("n-1", "a", false);
   auto spec = job_spec("job-1", 2);
@@ -151,10 +152,10 @@
     pass(2);
     exchange(worker);
   }
-  const auto rents = seen<RequestScaleOut>();
-  ASSERT_EQ(rents.size(), 1u);
-  EXPECT_TRUE(rents[0].request.spot);
-  cluster.apply(ScaleOutRefused{rents[0].request.id}, now);
+  const auto scale_outs = seen<RequestScaleOut>();
+  ASSERT_EQ(scale_outs.size(), 1u);
+  EXPECT_TRUE(scale_outs[0].request.spot);
+  cluster.apply(ScaleOutRefused{scale_outs[0].request.id}, now);
   cluster.apply(JobRecordRemoved{JobId("job-1")}, now);
   worker.tasks.clear();
   for (int i = 0; i < 60; ++i) {
@@ -174,7 +175,7 @@
   EXPECT_FALSE(seen<RequestScaleIn>().empty());
 }
 
-TEST_F(PlacementTest, MachineThatFailsTasksOfSeveralJobsIsDrainedAndDeleted) {
+TEST_F(PlacementTest, MachineFailingSeveralJobsIsDrainedAndDeleted) {
   loaded();
   auto worker = ready_worker("n-1");
   submit(job_spec("job-1", 1));
@@ -185,7 +186,7 @@
   exchange(worker);
   submit(job_spec("job-3", 1));
   worker.tasks.clear();
-  EXPECT_EQ(count(exchange(worker), CommandKind::start), 0u) << "nothing more goes there while it is judged";
+  EXPECT_EQ(count(exchange(worker), CommandKind::start), 0u) << "a faulty machine gets no further tasks";
   for (int i = 0; i < 6; ++i) {
     pass(2);
     exchange(worker);
@@ -193,7 +194,7 @@
   EXPECT_EQ(seen<RequestScaleIn>().at(0).machines[0], MachineId("n-1"));
 }
 
-TEST_F(PlacementTest, MachineOnWhichTasksTakeSeveralTimesAsLongAsElsewhereIsLeft) {
+TEST_F(PlacementTest, StragglerMachineIsDrainedAndItsTasksMoveOnce) {
   loaded();
   std::vector<Worker> workers{ready_worker("n-1"), ready_worker("n-2"), ready_worker("n-3")};
   submit(job_spec("job-1", 6));
@@ -201,47 +202,47 @@
   for (auto& worker : workers)
     for (const auto& command : answer(worker))
       worker.shows("job-1", command.task.index, command.attempt, TaskState::running);
-  // Reports for so many seconds; returns how many tasks a machine was told to stop.
-  auto run = [&](int seconds) {
-    std::size_t stopped = 0;
+  // Exchanges heartbeats for this long. Returns the most stop commands that one response had.
+  auto run_for = [&](int seconds) {
+    std::size_t stops = 0;
     for (; seconds > 0; seconds -= 2) {
       pass(2);
-      for (auto& worker : workers) stopped = std::max(stopped, count(exchange(worker), CommandKind::stop));
+      for (auto& worker : workers) stops = std::max(stops, count(exchange(worker), CommandKind::stop));
     }
-    return stopped;
+    return stops;
   };
-  run(20);
-  for (std::size_t quick = 0; quick < 2; ++quick)
-    for (auto& task : workers[quick].tasks) {
+  run_for(20);
+  for (std::size_t i = 0; i < 2; ++i)
+    for (auto& task : workers[i].tasks) {
       task.state = TaskState::exited;
       task.cause = ExitCause::done;
     }
-  EXPECT_EQ(run(16), 0u) << "twice the others' time is not up";
-  EXPECT_EQ(run(8), 2u);
+  EXPECT_EQ(run_for(16), 0u) << "less than twice the run time on the other machines";
+  EXPECT_EQ(run_for(8), 2u);
   workers[2].tasks.clear();
-  run(2);
-  EXPECT_EQ(cluster.job(JobId("job-1"))->waiting_tasks(), 2u) << "they go on elsewhere";
-  run(6);
-  std::set<MachineId> returned;
+  run_for(2);
+  EXPECT_EQ(cluster.job(JobId("job-1"))->waiting_tasks(), 2u) << "the stopped tasks are requeued";
+  run_for(6);
+  std::set<MachineId> scaled_in;
   for (const auto& effect : seen<RequestScaleIn>())
-    returned.insert(effect.machines.begin(), effect.machines.end());
-  EXPECT_TRUE(returned.contains(MachineId("n-3")));
+    scaled_in.insert(effect.machines.begin(), effect.machines.end());
+  EXPECT_TRUE(scaled_in.contains(MachineId("n-3")));
 
   workers = {ready_worker("n-4")};
   for (const auto& command : answer(workers[0]))
     workers[0].shows("job-1", command.task.index, command.attempt, TaskState::running);
   ASSERT_EQ(workers[0].tasks.size(), 2u);
-  EXPECT_EQ(run(80), 0u) << "tasks that do take that long are not moved on for ever";
+  EXPECT_EQ(run_for(80), 0u) << "second attempts are not stopped as stragglers";
 }
 
-TEST_F(PlacementTest, JobThatFailsEverywhereSlowsDownAndBlamesNoMachine) {
+TEST_F(PlacementTest, JobFailingEverywhereBacksOffWithoutDrainingMachines) {
   loaded();
   std::vector<Worker> workers;
   for (int i = 1; i <= 4; ++i) workers.push_back(ready_worker("n-" + std::to_string(i)));
   submit(job_spec("job-1", 1));
   submit(job_spec("job-2", 1));
   std::size_t starts = 0;
-  for (int round = 0; round < 20; ++round) {
+  for (int second = 0; second < 20; ++second) {
     pass(1);
     for (auto& worker : workers) {
       for (const auto& command : exchange(worker)) {
@@ -250,8 +251,8 @@
           worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::exited,
                        ExitCause::error);
         } else if (command.kind == CommandKind::acknowledge) {
-          std::erase_if(worker.tasks, [&](const auto& t) {
-            return t.task == command.task && t.attempt == command.attempt;
+          std::erase_if(worker.tasks, [&](const auto& reported) {
+            return reported.task == command.task && reported.attempt == command.attempt;
           });
         }
       }
@@ -266,7 +267,7 @@
   EXPECT_EQ(draining, 0u);
 }
 
-TEST_F(PlacementTest, NoticeLetsATaskSaveInTimeAndBringsNoNewWork) {
+TEST_F(PlacementTest, TerminationNoticeTriggersCheckpointAndBlocksNewTasks) {
   loaded();
   auto worker = ready_worker("n-1");
   auto spec = job_spec("job-1", 1);
@@ -276,7 +277,8 @@
   exchange(worker);
   worker.shows("job-1", 0, 1, TaskState::running);
   worker.termination_notice_s = 20;
-  EXPECT_EQ(count(exchange(worker), CommandKind::stop), 0u) << "there is time to go on";
+  EXPECT_EQ(count(exchange(worker), CommandKind::stop), 0u)
+      << "the task can still run before it must write its checkpoint";
   submit(job_spec("job-2", 1));
   worker.termination_notice_s = 6;
   const auto commands = exchange(worker);
@@ -285,20 +287,20 @@
   EXPECT_EQ(count(commands, CommandKind::start), 0u);
 }
 
-TEST_F(PlacementTest, LesserWorkIsStoppedWhenAnUrgentJobFindsNoRoom) {
+TEST_F(PlacementTest, HigherPriorityJobPreemptsWhenNoCapacityIsFree) {
   loaded();
   auto worker = ready_worker("n-1");
-  auto low = job_spec("job-1", 2);
-  low.checkpoint_interval_s = 10;
-  low.checkpoint_duration_s = 1;
-  submit(low);
+  auto normal_priority = job_spec("job-1", 2);
+  normal_priority.checkpoint_interval_s = 10;
+  normal_priority.checkpoint_duration_s = 1;
+  submit(normal_priority);
   exchange(worker);
   worker.shows("job-1", 0, 1, TaskState::running);
   worker.shows("job-1", 1, 1, TaskState::running);
   exchange(worker);
-  auto urgent = job_spec("job-2", 1);
-  urgent.priority = wire::Priority::high;
-  submit(urgent);
+  auto high_priority = job_spec("job-2", 1);
+  high_priority.priority = wire::Priority::high;
+  submit(high_priority);
   for (int i = 0; i < 5; ++i) {
     pass(2);
     exchange(worker);
@@ -309,7 +311,7 @@
   EXPECT_EQ(stopping, 1u);
 }
 
-TEST_F(PlacementTest, HugeJobIsPlacedInBatchesAndItsPagesFitTheirValues) {
+TEST_F(PlacementTest, HugeJobIsPlacedInBatchesWithinRecordSizeLimit) {
   loaded();
   std::vector<Worker> workers;
   for (int i = 0; i < 30; ++i) workers.push_back(ready_worker("n-" + std::to_string(100 + i)));
@@ -318,59 +320,60 @@
   const Job* job = cluster.job(JobId("job-1"));
   EXPECT_EQ(job->assignments.size(), 30u * 160u);
   EXPECT_TRUE(std::all_of(job->tasks.begin(), job->tasks.begin() + 4800,
-                          [](const TaskProgress& slot) { return slot.durable(); }));
-  std::size_t pages = 0;
-  for (const auto& save : saves) {
-    ASSERT_EQ(save.transaction.puts.size(), 1u);
-    EXPECT_LE(save.transaction.puts[0].value.dump().size(), 4096u);
-    ++pages;
+                          [](const TaskProgress& task) { return task.durable(); }));
+  std::size_t segments = 0;
+  for (const auto& write : saves) {
+    ASSERT_EQ(write.transaction.puts.size(), 1u);
+    EXPECT_LE(write.transaction.puts[0].value.dump().size(), 4096u);
+    ++segments;
   }
-  EXPECT_LE(pages, 40u);
+  EXPECT_LE(segments, 40u);
 }
 
-// Small tasks strewn over the only machines that hold large ones kept these out for minutes (an incident).
-TEST_F(PlacementTest, SmallTasksLeaveAMachineToTheLargeOneThatNeedsIt) {
-  auto large = small_type("large", 16, 4.0, 1.2);
-  cluster.apply(MachineTypesChanged{{small_type(), large}}, now);
+// Guards against small tasks spreading over the only machines on which a large task fits.
+TEST_F(PlacementTest, SmallTasksAvoidScarceTypeNeededByLargeTask) {
+  auto large_type = small_type("large", 16, 4.0, 1.2);
+  cluster.apply(MachineTypesChanged{{small_type(), large_type}}, now);
   loaded();
   Worker worker{"n-1"};
   worker.type = "large";
   exchange(worker);
   exchange(worker);
-  auto filler = job_spec("job-1", 1, 8);
-  submit(filler);
+  auto first_job = job_spec("job-1", 1, 8);
+  submit(first_job);
   settle();
-  auto big = job_spec("job-2", 1, 16);
-  big.deadline_s = 60;
-  submit(big);
+  auto large_job = job_spec("job-2", 1, 16);
+  large_job.deadline_s = 60;
+  submit(large_job);
   for (int i = 0; i < 5; ++i) {
     pass(1);
     exchange(worker);
-    for (const auto& rent : seen<RequestScaleOut>()) cluster.apply(ScaleOutRefused{rent.request.id}, now);
+    for (const auto& scale_out : seen<RequestScaleOut>())
+      cluster.apply(ScaleOutRefused{scale_out.request.id}, now);
   }
-  auto small = job_spec("job-3", 2);
-  small.priority = wire::Priority::high;
-  small.deadline_s = 300;
-  submit(small);
+  auto small_job = job_spec("job-3", 2);
+  small_job.priority = wire::Priority::high;
+  small_job.deadline_s = 300;
+  submit(small_job);
   settle();
   EXPECT_EQ(cluster.job(JobId("job-3"))->assignments.size(), 0u);
   pass(4);
-  const auto rents = seen<RequestScaleOut>();
-  EXPECT_TRUE(
-      std::any_of(rents.begin(), rents.end(), [](const auto& each) { return each.request.type == "small"; }));
+  const auto scale_outs = seen<RequestScaleOut>();
+  EXPECT_TRUE(std::any_of(scale_outs.begin(), scale_outs.end(),
+                          [](const auto& scale_out) { return scale_out.request.type == "small"; }));
 }
 
-// A day fails if the largest jobs of a class have not begun within four minutes.
-TEST_F(PlacementTest, JobThatHasNotBegunForLongGoesAheadOfMoreUrgentWork) {
+// Guards against a large job waiting behind a continuous stream of small jobs with a higher priority.
+TEST_F(PlacementTest, StarvingJobIsPlacedAheadOfHigherPriorityJobs) {
   loaded();
   auto worker = ready_worker("n-1");
-  auto large = job_spec("job-1", 40, 8);
-  submit(large);
-  std::size_t urgent = 2;
-  double waited = 0;
-  while (!cluster.job(JobId("job-1"))->started && waited < 240) {
+  auto large_job = job_spec("job-1", 40, 8);
+  submit(large_job);
+  std::size_t next_job = 2;
+  double waited_s = 0;
+  while (!cluster.job(JobId("job-1"))->started && waited_s < 240) {
     for (int i = 0; i < 2; ++i) {
-      auto spec = job_spec("job-" + std::to_string(urgent++), 1, 8);
+      auto spec = job_spec("job-" + std::to_string(next_job++), 1, 8);
       spec.priority = wire::Priority::high;
       spec.estimated_run_s = 2;
       submit(spec);
@@ -386,157 +389,159 @@
       task.cause = ExitCause::done;
     }
     pass(2);
-    waited += 2;
+    waited_s += 2;
   }
-  EXPECT_GE(waited, 60) << "urgent work goes first at all other times";
-  EXPECT_LE(waited, 120);
+  EXPECT_GE(waited_s, 60) << "higher priority comes first until the job is starving";
+  EXPECT_LE(waited_s, 120);
 }
 
-TEST_F(PlacementTest, WorkFillsMachinesInUseBeforeAnEmptyOneUnlessItCantWait) {
+TEST_F(PlacementTest, PlacementPrefersMachinesInUseUnlessLatencyCritical) {
   loaded();
-  auto used = ready_worker("n-1");
+  auto worker_in_use = ready_worker("n-1");
   submit(job_spec("job-1", 1));
-  exchange(used);
-  used.shows("job-1", 0, 1, TaskState::running);
-  exchange(used);
-  auto empty = ready_worker("n-2");
+  exchange(worker_in_use);
+  worker_in_use.shows("job-1", 0, 1, TaskState::running);
+  exchange(worker_in_use);
+  auto empty_worker = ready_worker("n-2");
   pass(1);
-  heartbeat_only(empty);
-  auto patient = job_spec("job-2", 1);
-  patient.deadline_s = 300;
-  submit(patient);
+  heartbeat_only(empty_worker);
+  auto relaxed_job = job_spec("job-2", 1);
+  relaxed_job.deadline_s = 300;
+  submit(relaxed_job);
   settle();
-  EXPECT_TRUE(cluster.job(JobId("job-2"))->assignments.empty()) << "n-1 has room and will report soon";
-  auto hasty = job_spec("job-3", 1, 8);
-  hasty.deadline_s = 45;
-  submit(hasty);
+  EXPECT_TRUE(cluster.job(JobId("job-2"))->assignments.empty())
+      << "n-1 has free capacity and will send a heartbeat soon";
+  auto critical_job = job_spec("job-3", 1, 8);
+  critical_job.deadline_s = 45;
+  submit(critical_job);
   settle();
   EXPECT_EQ(cluster.job(JobId("job-3"))->assignments.size(), 1u);
-  heartbeat_only(used);
+  heartbeat_only(worker_in_use);
   EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.at(0).machine->id, MachineId("n-1"));
 }
 
-// At 1,750 machines passes over the whole fleet took most of the leader's processor.
-TEST_F(PlacementTest, WorkOfAReportDoesNotGrowWithTheFleet) {
-  LeaderStateMachine large(cluster_config(), FencingToken(kToken), 0, 0);
-  large.apply(MachineTypesChanged{{small_type()}}, 0);
-  large.apply(LoadCompleted{}, 0);
+// Guards against passes over the whole fleet for each heartbeat, which would use up the leader's CPU.
+TEST_F(PlacementTest, HeartbeatCostDoesNotGrowWithFleetSize) {
+  LeaderStateMachine state_machine(cluster_config(), FencingToken(kToken), 0, 0);
+  state_machine.apply(MachineTypesChanged{{small_type()}}, 0);
+  state_machine.apply(LoadCompleted{}, 0);
   constexpr int kMachines = 2050;
   constexpr int kJobs = 300;
   for (int i = 0; i < kJobs; ++i) {
     auto spec = job_spec("job-" + std::to_string(1000 + i), 100);
     spec.deadline_s = 60 + i;
-    large.apply(JobSubmitted{job_record(spec), Revision(60)}, 0);
+    state_machine.apply(JobSubmitted{job_record(spec), Revision(60)}, 0);
   }
   std::vector<Worker> workers;
-  std::map<std::string, std::vector<wire::Command>> commands;
   std::size_t writes = 0;
   std::size_t started = 0;
   Time time = 1;
-  auto save = [&] {
-    while (auto due = large.next_write(time)) {
-      writes += due->transaction.puts.size();
-      large.apply(WriteApplied{due->number}, time);
+  auto apply_writes = [&] {
+    while (auto write = state_machine.next_write(time)) {
+      writes += write->transaction.puts.size();
+      state_machine.apply(WriteApplied{write->number}, time);
     }
   };
   for (int i = 0; i < kMachines; ++i) workers.push_back(Worker{"n-" + std::to_string(10'000 + i)});
-  for (int round = 0; round < 3; ++round) {
+  for (int exchanges = 0; exchanges < 3; ++exchanges) {
     for (auto& worker : workers) {
       time += 0.001;
-      large.apply_heartbeat(worker.heartbeat(), time);
-      large.assign_tasks(time);
-      save();
-      for (const auto& command : large.commands_for(MachineId(worker.name), true, time)) {
+      state_machine.apply_heartbeat(worker.heartbeat(), time);
+      state_machine.assign_tasks(time);
+      apply_writes();
+      for (const auto& command : state_machine.commands_for(MachineId(worker.name), true, time)) {
         started += command.kind == CommandKind::start;
         worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
       }
-      large.response_sent(MachineId(worker.name), time);
+      state_machine.response_sent(MachineId(worker.name), time);
       worker.token = kToken;
     }
   }
   EXPECT_EQ(started, 2u * kMachines);
-  EXPECT_LT(writes, 60u) << "records follow time, not tasks";
-  // A report costs a look at the waiting jobs, not at the fleet: far from kMachines a report.
-  EXPECT_LT(large.scanned(), 3u * kMachines * 2 * kJobs);
-  const auto before = large.scanned();
+  EXPECT_LT(writes, 60u) << "the number of writes depends on time, not on the number of tasks";
+  // A heartbeat scans the waiting jobs but not the machines.
+  EXPECT_LT(state_machine.scanned(), 3u * kMachines * 2 * kJobs);
+  const auto scanned_before_heartbeat = state_machine.scanned();
   time += 0.001;
-  large.apply_heartbeat(workers[0].heartbeat(), time);  // full
-  large.assign_tasks(time);
-  EXPECT_LE(large.scanned() - before, 2u);
-  // Nor does a second's review look at every machine for every job that waits for room.
-  const auto before_review = large.scanned();
+  state_machine.apply_heartbeat(workers[0].heartbeat(), time);  // the machine is full
+  state_machine.assign_tasks(time);
+  EXPECT_LE(state_machine.scanned() - scanned_before_heartbeat, 2u);
+  // A tick does not scan every machine for every waiting job.
+  const auto scanned_before_tick = state_machine.scanned();
   time += constants::kPreemptionDelay + 1;
-  large.apply(Tick{}, time);
-  EXPECT_LT(large.scanned() - before_review, static_cast<std::uint64_t>(kMachines + 2 * kJobs));
+  state_machine.apply(Tick{}, time);
+  EXPECT_LT(state_machine.scanned() - scanned_before_tick, static_cast<std::uint64_t>(kMachines + 2 * kJobs));
 }
 
 class StartObjectiveTest : public ClusterTest {
  protected:
-  static ClusterConfig wanted_soon() {
+  static ClusterConfig config_with_start_objective() {
     auto config = cluster_config();
     config.objectives = {{ServiceLevelObjective::Kind::start, "class", 9, 1}};
     return config;
   }
-  StartObjectiveTest() : ClusterTest(wanted_soon()) {}
+  StartObjectiveTest() : ClusterTest(config_with_start_objective()) {}
 };
 
-TEST_F(StartObjectiveTest, RoomThatOthersWillFreeSoonIsNotWaitedForUntilTheObjectiveIsMissed) {
+TEST_F(StartObjectiveTest, ScaleOutDoesNotWaitPastStartObjective) {
   loaded();
   auto worker = ready_worker("n-1");
   submit(job_spec("job-1", 2));
   settle();
   for (const auto& command : answer(worker))
     worker.shows("job-1", command.task.index, command.attempt, TaskState::running);
-  auto run = [&](int seconds) {
+  auto run_for = [&](int seconds) {
     for (; seconds > 0; --seconds) {
       pass(1);
       exchange(worker);
     }
   };
-  run(20);  // of 40, and a boot takes as long: half-way through they will be done before another is up
+  run_for(20);  // the tasks end in another 20 s, before a new machine would be up after 40 s
   submit(job_spec("job-2", 2));
-  run(2);
+  run_for(2);
   EXPECT_TRUE(seen<RequestScaleOut>().empty());
-  run(3);
-  EXPECT_FALSE(seen<RequestScaleOut>().empty()) << "in a large fleet as much arrives as is freed";
+  run_for(3);
+  EXPECT_FALSE(seen<RequestScaleOut>().empty())
+      << "waiting longer for running tasks would miss the objective";
 }
 
-class GuaranteeTest : public ClusterTest {
+class GuaranteedShareTest : public ClusterTest {
  protected:
-  static ClusterConfig guaranteed() {
+  static ClusterConfig config_with_guaranteed_share() {
     auto config = cluster_config();
     config.teams[0].guaranteed_share.cpus = 8;
     return config;
   }
-  GuaranteeTest() : ClusterTest(guaranteed()) {}
+  GuaranteedShareTest() : ClusterTest(config_with_guaranteed_share()) {}
 };
 
-TEST_F(GuaranteeTest, TeamWithinItsGuaranteeNeedNotWaitForMoreUrgentWorkOfOthers) {
+TEST_F(GuaranteedShareTest, TeamWithinShareIsPlacedBeforeHigherPriorityJobs) {
   loaded();
-  auto other = job_spec("job-1", 2);
-  other.team = "other";
-  other.priority = wire::Priority::critical;
-  submit(other);
+  auto other_team_job = job_spec("job-1", 2);
+  other_team_job.team = "other";
+  other_team_job.priority = wire::Priority::critical;
+  submit(other_team_job);
   submit(job_spec("job-2", 2));
   auto worker = ready_worker("n-1");
   EXPECT_EQ(cluster.job(JobId("job-2"))->assignments.size(), 2u);
 }
 
-// Two machines full of one job's work, and an urgent job that finds no room.
+// Two machines are filled by one job, so that a job with a higher priority needs preemption.
 class PreemptionTest : public PlacementTest {
  protected:
-  void fill(wire::Priority priority) {
+  void fill_machines(wire::Priority priority) {
     loaded();
     for (const char* name : {"n-1", "n-2"}) workers.push_back(ready_worker(name));
-    auto work = job_spec("job-1", 8, 2);
-    work.priority = priority;
-    work.estimated_run_s = 300;
-    submit(work);
-    exchange_all();
-    exchange_all();
+    auto spec = job_spec("job-1", 8, 2);
+    spec.priority = priority;
+    spec.estimated_run_s = 300;
+    submit(spec);
+    exchange_with_all_workers();
+    exchange_with_all_workers();
   }
-  // Starts what is ordered; returns how many orders to stop came.
-  std::size_t exchange_all() {
+  // Exchanges one heartbeat with each worker, which follows its start commands. Returns the number of stop
+  // commands.
+  std::size_t exchange_with_all_workers() {
     std::size_t stops = 0;
     for (auto& worker : workers)
       for (const auto& command : exchange(worker)) {
@@ -546,57 +551,55 @@
       }
     return stops;
   }
-  // The most orders to stop in one round of reports, from the urgent job's coming on.
-  std::size_t stops_for_urgent(TaskIndex tasks, bool first_round_only) {
-    auto urgent = job_spec("job-2", tasks, 4);
-    urgent.priority = wire::Priority::high;
-    submit(urgent);
+  // Submits a job with a higher priority and exchanges heartbeats for some seconds, or until the first stop
+  // command. Returns the most stop commands that one exchange with all workers had.
+  std::size_t max_stops_for_high_priority_job(TaskIndex tasks, bool until_first_stop) {
+    auto high_priority = job_spec("job-2", tasks, 4);
+    high_priority.priority = wire::Priority::high;
+    submit(high_priority);
     std::size_t stops = 0;
-    for (int i = 0; i < 6 && (stops == 0 || !first_round_only); ++i) {
+    for (int i = 0; i < 6 && (stops == 0 || !until_first_stop); ++i) {
       pass(1.5);
-      stops = std::max(stops, exchange_all());
+      stops = std::max(stops, exchange_with_all_workers());
     }
     return stops;
   }
   std::vector<Worker> workers;
 };
 
-TEST_F(PreemptionTest, WorkForIdleHoursMakesWayForAllWaitingTasksOfAnUrgentJobAtOnce) {
-  // Made for one task every 2 s, an array of 25 waited for most of a minute.
-  fill(wire::Priority::low);
-  EXPECT_EQ(stops_for_urgent(4, true), 8u);
+TEST_F(PreemptionTest, LowPriorityVictimsFreeCapacityForAllWaitingTasks) {
+  fill_machines(wire::Priority::low);
+  EXPECT_EQ(max_stops_for_high_priority_job(4, true), 8u);
 }
 
-TEST_F(PreemptionTest, WorkThatOwnersWaitForMakesWayStepByStep) {
-  // Stopped all at once for an urgent array, most of which finds room that frees, it cost a small fleet more
-  // than it gained.
-  fill(wire::Priority::normal);
-  EXPECT_EQ(stops_for_urgent(4, true), 2u) << "room for one task of it";
+TEST_F(PreemptionTest, NormalPriorityVictimsFreeCapacityForOneTask) {
+  fill_machines(wire::Priority::normal);
+  EXPECT_EQ(max_stops_for_high_priority_job(4, true), 2u) << "capacity for one task";
 }
 
-TEST_F(PreemptionTest, NoMoreIsStoppedThanAnUrgentJobNeeds) {
-  fill(wire::Priority::low);
-  EXPECT_EQ(stops_for_urgent(1, false), 2u);
+TEST_F(PreemptionTest, PreemptsNoMoreTasksThanNeeded) {
+  fill_machines(wire::Priority::low);
+  EXPECT_EQ(max_stops_for_high_priority_job(1, false), 2u);
 }
 
-TEST_F(PlacementTest, WorkOfTheLowestPriorityMakesWayFirstWhateverItsLoss) {
+TEST_F(PlacementTest, LowestPriorityIsPreemptedFirstRegardlessOfLostWork) {
   loaded();
   auto worker = ready_worker("n-1");
-  auto saving = job_spec("job-1", 1, 4);  // it would lose least
-  saving.checkpoint_interval_s = 10;
-  saving.checkpoint_duration_s = 1;
-  submit(saving);
-  auto idle_work = job_spec("job-2", 1, 4);
-  idle_work.priority = wire::Priority::low;
-  idle_work.estimated_run_s = 300;
-  submit(idle_work);
+  auto checkpointing = job_spec("job-1", 1, 4);  // loses the least work
+  checkpointing.checkpoint_interval_s = 10;
+  checkpointing.checkpoint_duration_s = 1;
+  submit(checkpointing);
+  auto low_priority = job_spec("job-2", 1, 4);
+  low_priority.priority = wire::Priority::low;
+  low_priority.estimated_run_s = 300;
+  submit(low_priority);
   for (const auto& command : exchange(worker))
     worker.shows(command.task.job.value, command.task.index, command.attempt, TaskState::running);
   ASSERT_EQ(worker.tasks.size(), 2u);
   exchange(worker);
-  auto urgent = job_spec("job-3", 1, 4);
-  urgent.priority = wire::Priority::high;
-  submit(urgent);
+  auto high_priority = job_spec("job-3", 1, 4);
+  high_priority.priority = wire::Priority::high;
+  submit(high_priority);
   std::vector<wire::Command> stops;
   for (int i = 0; i < 6 && stops.empty(); ++i) {
     pass(2);
