--- a/src/core/autoscaler.cpp
+++ b/src/core/autoscaler.cpp
@@ -70,7 +70,7 @@
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.scale_in_requested || !state_.type_of(machine) || !machine.spot) continue;
     const bool free = constraints_.accepts_work(machine, now) && machine.assignments.empty();
-    const bool expected = machine.state == MachineState::booting && !constraints_.boots_late(machine, now);
+    const bool expected = machine.state == MachineState::booting && !constraints_.boot_overdue(machine, now);
     if (free || expected) machines[machine.type] += 1;
   }
   for (const auto& [id, pending] : scale_out_.pending())
@@ -170,7 +170,7 @@
   for (const auto& [id, machine] : state_.machines()) {
     if (machine.scale_in_requested || machine.state == MachineState::failed) continue;
     if (machine.state == MachineState::booting) {
-      summary_.booting += constraints_.boots_late(machine, now) ? 0 : 1;
+      summary_.booting += constraints_.boot_overdue(machine, now) ? 0 : 1;
       continue;
     }
     if (!constraints_.accepts_work(machine, now) || !state_.type_of(machine)) continue;
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -45,8 +45,9 @@
                                                     Time now) const {
   wire::Resources soon_free;
   for (const auto& task : machine.assignments) {
-    const bool ends_soon = at_slo_risk ? nearly_done(*task.job, task.assignment(), now)
-                                       : frees_soon(state_, *task.job, task.assignment(), now);
+    const bool ends_soon = at_slo_risk
+                               ? nearly_done(*task.job, task.assignment(), now)
+                               : ends_before_new_machine_boots(state_, *task.job, task.assignment(), now);
     if (ends_soon) soon_free += task.job->spec.task_resources;
   }
   return soon_free;
@@ -100,7 +101,7 @@
     if (machine.state == MachineState::up) {
       if (!constraints_.accepts_work(machine, now)) continue;
       if (include_soon_free) free += soon_free_capacity(machine, at_slo_risk[machine.type_number], now);
-    } else if (machine.state != MachineState::booting || constraints_.boots_late(machine, now)) {
+    } else if (machine.state != MachineState::booting || constraints_.boot_overdue(machine, now)) {
       continue;
     }
     add(machine.type_number, machine.zone, machine.spot, free, 1);
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -21,7 +21,7 @@
 void FailureDetector::expire_leases(Time now) {
   for (auto& [id, machine] : state_.machines()) {
     if (machine.assignments.empty()) continue;
-    if (constraints_.silent(machine, now)) lifecycle_.release_undispatched(machine, now);
+    if (constraints_.unresponsive(machine, now)) lifecycle_.release_undispatched(machine, now);
     if (!lease_expired(machine, now)) continue;
     const auto assignments = machine.assignments;
     // A completed gang is removed once all its tasks are confirmed ended, so this may remove the job.
@@ -41,13 +41,13 @@
 }
 
 bool FailureDetector::responsive_under_token(const Machine& machine, Time now) const {
-  return machine.token_acknowledged && !constraints_.silent(machine, now);
+  return machine.token_acknowledged && !constraints_.unresponsive(machine, now);
 }
 
 bool FailureDetector::cancellation_requires_deletion(const Machine& machine, Time now) const {
   const auto left_s = cancellation_time_left_s(machine, now);
   if (!left_s) return false;
-  const bool unresponsive = constraints_.silent(machine, now);
+  const bool unresponsive = constraints_.unresponsive(machine, now);
   // A hung machine does not end its tasks when its lease expires, and waiting until it is presumed lost could
   // exceed the cancellation timeout.
   if (unresponsive && lease_expired(machine, now)) return true;
@@ -94,7 +94,7 @@
 bool FailureDetector::requires_deletion(const Machine& machine, Time now) const {
   if (machine.state == MachineState::failed) return true;
   if (machine.state == MachineState::booting) return boot_failed(machine, now);
-  if (constraints_.silent(machine, now)) return presumed_lost(machine, now);
+  if (constraints_.unresponsive(machine, now)) return presumed_lost(machine, now);
   if (responses_lost(machine, now)) return machine.assignments.empty() || !machine.token_acknowledged;
   return machine.draining && machine.assignments.empty();
 }
--- a/src/core/gang_checkpoint.cpp
+++ b/src/core/gang_checkpoint.cpp
@@ -24,7 +24,7 @@
         const Machine& machine = *assignment.machine;
         return assignment.observed && assignment.state == wire::TaskState::running &&
                machine.token_acknowledged && machine.undelivered_responses == 0 &&
-               !constraints_.silent(machine, now);
+               !constraints_.unresponsive(machine, now);
       });
   // The progress since the last checkpoint, as far as the leader can tell, must exceed the time that a
   // checkpoint takes.
@@ -55,7 +55,7 @@
   if (job.expected_run_s - ran_s <= time_left_s) return;  // expected to end in time
   if (spec.checkpoint_interval_s <= 0) {
     lifecycle_.abort_gang(job);  // it writes no checkpoints, so it restarts elsewhere as early as possible
-  } else if (time_left_s <= last_chance_to_save_s(state_.config(), spec) &&
+  } else if (time_left_s <= checkpoint_lead_time_s(state_.config(), spec) &&
              time_left_s > spec.checkpoint_duration_s && should_checkpoint(job, now)) {
     checkpoint_and_stop(job);
   }
--- a/src/core/gang_scheduler.cpp
+++ b/src/core/gang_scheduler.cpp
@@ -31,11 +31,11 @@
   state_.count_scanned(machines.size());
   for (Machine* machine : machines) {
     if (machine->reserved_for_other(job, now)) continue;
-    const auto cost = cost_.of(job, *machine, largest_cpus);
+    const auto cost = cost_.compute(job, *machine, largest_cpus);
     if (!cost) continue;
     const auto task_capacity = tasks_fitting(spec.task_resources, constraints_.free_capacity(*machine));
     GangCandidate candidate{machine, 0, *cost, task_capacity};
-    if (!machine->has_image(spec.image)) candidate.start_delay_s = cost_.fetch_s(job, *machine);
+    if (!machine->has_image(spec.image)) candidate.start_delay_s = cost_.image_fetch_s(job, *machine);
     // All tasks run at the pace of the slowest one.
     candidate.start_delay_s += constants::kStragglerSignCostSeconds * machine->straggler_signs;
     groups[spec.same_zone ? machine->zone : std::string()].push_back(candidate);
--- a/src/core/machine_health.cpp
+++ b/src/core/machine_health.cpp
@@ -94,7 +94,8 @@
 }
 
 void MachineHealth::drain_if_straggler(Machine& machine, Time now) {
-  if (machine.state != MachineState::up || machine.scale_in_requested || constraints_.silent(machine, now))
+  if (machine.state != MachineState::up || machine.scale_in_requested ||
+      constraints_.unresponsive(machine, now))
     return;
   if (count_straggler_signs(machine, now) < constants::kStragglerSignsThreshold) return;
   machine.draining = true;
--- a/src/core/offering_selector.cpp
+++ b/src/core/offering_selector.cpp
@@ -50,8 +50,8 @@
   if (!job.spec.spot_allowed) return true;
   // Limits the wait for a spot machine when the objective is far away.
   if (now - job.queued_at >= constants::kSpotWaitTimeoutSeconds) return true;
-  const double slack_s = queued.slo_deadline - now - job.expected_run_s - quickest_boot_s(state_, job);
-  return queued.slo_reachable && slack_s < constants::kOnDemandSlackSeconds;
+  const double slack_s = queued.slo_deadline - now - job.expected_run_s - shortest_boot_s(state_, job);
+  return queued.slo_achievable && slack_s < constants::kOnDemandSlackSeconds;
 }
 
 }  // namespace dockdyke::core
--- a/src/core/placement_cost.cpp
+++ b/src/core/placement_cost.cpp
@@ -9,12 +9,13 @@
 PlacementCost::PlacementCost(const ClusterState& state, const SchedulingConstraints& constraints)
     : state_(state), constraints_(constraints) {}
 
-double PlacementCost::fetch_s(const Job& job, const Machine& machine) const {
+double PlacementCost::image_fetch_s(const Job& job, const Machine& machine) const {
   return job.spec.image_gb /
          std::max(constants::kMinImageFetchGbPerSecond, state_.type_of(machine)->fetch_gb_per_s);
 }
 
-std::optional<double> PlacementCost::of(const Job& job, const Machine& machine, double largest_cpus) const {
+std::optional<double> PlacementCost::compute(const Job& job, const Machine& machine,
+                                             double largest_cpus) const {
   const auto& spec = job.spec;
   const auto free = constraints_.free_capacity(machine);
   if (!spec.task_resources.fits_into(free)) return std::nullopt;
@@ -26,8 +27,9 @@
   if (!machine.spot && spec.spot_allowed) cost += constants::kOnDemandCostSeconds;
   if (!machine.failed_jobs.empty()) cost += constants::kFailedMachineCostSeconds;
   if (!machine.has_image(spec.image)) {
-    const double fetch = fetch_s(job, machine);
-    cost += machine.has_task_with_image(spec.image) ? fetch * constants::kSharedImageFetchFraction : fetch;
+    const double fetch_s = image_fetch_s(job, machine);
+    cost +=
+        machine.has_task_with_image(spec.image) ? fetch_s * constants::kSharedImageFetchFraction : fetch_s;
   }
   return cost;
 }
--- a/src/core/scarce_types.cpp
+++ b/src/core/scarce_types.cpp
@@ -49,7 +49,7 @@
     }
   }
   const double slack_s = queued.slo_deadline - now - job.expected_run_s;
-  if (boot_s == 0 || !queued.slo_reachable || slack_s < boot_s) return {};
+  if (boot_s == 0 || !queued.slo_achievable || slack_s < boot_s) return {};
   return avoided;
 }
 
--- a/src/core/termination_notices.cpp
+++ b/src/core/termination_notices.cpp
@@ -29,7 +29,7 @@
   TaskAssignment& assignment = task.assignment();
   const double remaining_run_s = std::max(0.0, task.job->expected_run_s - assignment.ran_s(now));
   if (spec.checkpoint_interval_s > 0) {
-    if (time_left_s <= last_chance_to_save_s(state_.config(), spec))
+    if (time_left_s <= checkpoint_lead_time_s(state_.config(), spec))
       assignment.request_stop(spec.checkpoint_duration_s);
   } else if (spec.kind == wire::JobKind::service || remaining_run_s > time_left_s) {
     assignment.request_stop(0);  // it cannot end here, so it is restarted elsewhere without delay
