--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -57,7 +57,7 @@
   if (leadership_.leading()) {
     leadership_.term()->push(core::JobRecordDeleted{id});
   } else {
-    peers_.job_cancelled(id);
+    peers_.notify_job_cancelled(id);
   }
 }
 
--- a/src/app/cancellation_log.cpp
+++ b/src/app/cancellation_log.cpp
@@ -10,15 +10,15 @@
 
 void CancellationLog::write(const std::vector<CancellationReport>& reports) {
   for (const auto& report : reports)
-    if (report.kind == CancellationReport::Kind::at_risk || take_line()) write(report);
+    if (report.kind == CancellationReport::Kind::at_risk || reserve_line()) write(report);
 }
 
-bool CancellationLog::take_line() {
-  if (lines_ >= constants::kMaxCancellationLogLines) {
+bool CancellationLog::reserve_line() {
+  if (logged_lines_ >= constants::kMaxCancellationLogLines) {
     ++suppressed_lines_;
     return false;
   }
-  ++lines_;
+  ++logged_lines_;
   return true;
 }
 
@@ -58,7 +58,7 @@
   if (summary.jobs > 0 || suppressed_lines_ > 0)
     spdlog::info("event=cancellations token={} jobs={} tasks={} least_time_left_s={:.1f} suppressed_lines={}",
                  token_.value, summary.jobs, summary.tasks, summary.least_time_left_s, suppressed_lines_);
-  lines_ = 0;
+  logged_lines_ = 0;
   suppressed_lines_ = 0;
 }
 
--- a/src/app/cancellation_log.hpp
+++ b/src/app/cancellation_log.hpp
@@ -1,4 +1,4 @@
-// Log lines about cancelled jobs that had tasks on machines.
+// Logs the progress of cancelled jobs whose tasks are still on machines.
 #pragma once
 
 #include <cstddef>
@@ -9,23 +9,23 @@
 
 namespace dockdyke::app {
 
-// Logs at most constants::kMaxCancellationLogLines between two summaries. Jobs at risk are always logged:
-// there is one line a job at the most.
+// Logs at most constants::kMaxCancellationLogLines lines between two summaries. Jobs at risk are always
+// logged, with at most one line per job.
 class CancellationLog {
  public:
   explicit CancellationLog(FencingToken token) : token_(token) {}
 
   void write(const std::vector<core::CancellationReport>& reports);
-  // Nothing where no cancelled job has tasks on machines and no line was left out.
+  // Logs nothing if no cancelled job has tasks on machines and no line was suppressed. Resets the line limit.
   void write_summary(const core::CancellationSummary& summary);
 
  private:
   void write(const core::CancellationReport& report);
-  // Counts a line; false when there is no more room for it.
-  bool take_line();
+  // Counts a line towards the limit. Returns false and counts it as suppressed if the limit is reached.
+  bool reserve_line();
 
   FencingToken token_;
-  std::size_t lines_ = 0;
+  std::size_t logged_lines_ = 0;
   std::size_t suppressed_lines_ = 0;
 };
 
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -45,17 +45,17 @@
   listener.on_leader = [this](std::optional<std::string> host) {
     leadership_.set_leader_host(std::move(host));
   };
-  listener.on_elected = [this](store::Leadership leadership, net::TimePoint asked_at) {
-    begin_term(leadership, asked_at);
+  listener.on_elected = [this](store::Leadership leadership, net::TimePoint requested_at) {
+    begin_term(leadership, requested_at);
   };
-  listener.on_renewed = [this](net::TimePoint asked_at) {
-    if (leadership_.leading()) leadership_.term()->lease_renewed(asked_at);
+  listener.on_renewed = [this](net::TimePoint requested_at) {
+    if (leadership_.leading()) leadership_.term()->lease_renewed(requested_at);
   };
   listener.on_lost = [this](store::LeadershipEnd reason) { end_term(reason); };
   return listener;
 }
 
-void Controller::begin_term(store::Leadership leadership, net::TimePoint asked_at) {
+void Controller::begin_term(store::Leadership leadership, net::TimePoint requested_at) {
   LeaderTerm::Listener listener;
   listener.on_superseded = [this] { election_.step_down(store::LeadershipEnd::superseded); };
   listener.on_job_completed = [this](const JobId& id, const wire::JobStatus& status) {
@@ -63,7 +63,7 @@
   };
   auto term =
       std::make_shared<LeaderTerm>(TermServices{loop_, state_, cloud_, transport_, max_held_responses()},
-                                   settings_.cluster, leadership, asked_at, std::move(listener));
+                                   settings_.cluster, leadership, requested_at, std::move(listener));
   leadership_.begin_term(term, settings_.host);
   rate_shares_.apply_shares();
   rate_shares_.update_term_write_rate();
@@ -78,7 +78,7 @@
   rate_shares_.apply_shares();
 }
 
-// ---- Serving ----------------------------------------------------------------------------------------------
+// ---- HTTP servers -----------------------------------------------------------------------------------------
 
 std::size_t Controller::max_public_connections() const {
   const auto limit = settings_.connections;
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -1,4 +1,4 @@
-// One controller of a deployment: builds its parts, serves its two ports and follows the election.
+// Composition root of a controller process: creates its components and starts the servers and the election.
 #pragma once
 
 #include <cstddef>
@@ -33,32 +33,32 @@
 
 namespace dockdyke::app {
 
-// Its coroutines are detached and refer to it: it lives as long as the loop runs.
+// Must outlive the event loop's run, since its detached coroutines refer to it.
 class Controller {
  public:
   Controller(net::Loop& loop, net::Transport& transport, Settings settings);
 
-  // Starts the background tasks and, unless a test calls the handlers itself, the servers.
+  // Starts the background tasks and, if `serve` is set, the HTTP servers. Tests call the handlers directly.
   void start(bool serve = true);
 
-  // The port of users and workers.
+  // Handles a request on the public port, which serves users and workers.
   net::Task<net::HttpResponse> handle_public(net::HttpMessage request);
-  // The port of the peers.
+  // Handles a request on the internal port, which serves the peers.
   net::Task<net::HttpResponse> handle_internal(net::HttpMessage request);
 
   bool leading() const { return leadership_.leading(); }
-  // The leader's host name; nothing when it is unknown.
+  // Returns the leader's host name, or std::nullopt if it is unknown.
   const std::optional<std::string>& leader() const { return leadership_.leader_host(); }
 
  private:
   store::Election::Listener election_listener();
-  void begin_term(store::Leadership leadership, net::TimePoint asked_at);
+  void begin_term(store::Leadership leadership, net::TimePoint requested_at);
   void end_term(store::LeadershipEnd reason);
   void start_servers();
   net::Task<void> log_user_requests();
-  // Connections for users and workers.
+  // Returns the limit of simultaneous connections on the public port.
   std::size_t max_public_connections() const;
-  // Responses to workers that may be held at the same time.
+  // Returns how many responses to workers may be held at the same time.
   std::size_t max_held_responses() const;
 
   net::Loop& loop_;
--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -15,11 +15,11 @@
 
 using store::RequestPriority;
 
-EffectExecutor::EffectExecutor(TermContext& context, GuardedWriter& writer, KeyDeleter& deleter)
-    : context_(context), writer_(writer), deleter_(deleter) {}
+EffectExecutor::EffectExecutor(TermContext& context, FencedWriter& writer, KeyDeleter& key_deleter)
+    : context_(context), writer_(writer), key_deleter_(key_deleter) {}
 
 void EffectExecutor::execute(core::Effect effect) {
-  std::visit([this](auto& each) { start(std::move(each)); }, effect);
+  std::visit([this](auto& alternative) { start(std::move(alternative)); }, effect);
 }
 
 void EffectExecutor::start(core::RequestScaleOut effect) {
@@ -32,34 +32,34 @@
   context_.spawn(send_stop_commands(std::move(effect)));
 }
 void EffectExecutor::start(core::DeleteKeys effect) {
-  deleter_.delete_later(std::move(effect.keys));
+  key_deleter_.enqueue(std::move(effect.keys));
 }
 
 net::Task<void> EffectExecutor::scale_out(core::RequestScaleOut effect) {
   const auto& request = effect.request;
   const std::string key = core::key::kScaleOutPrefix + request.id.value;
   if (!effect.persisted) {
-    // Ahead of other writes: a day's first scale-outs were queued behind its first submissions for 5 s.
+    // High priority keeps the request from queueing behind a burst of submissions.
     const bool written = co_await writer_.insert(key, wire::to_json(request), RequestPriority::high);
     if (!written) co_return;
   }
-  bool decided = false;
-  while (context_.alive() && !decided) {
+  bool outcome_known = false;
+  while (context_.alive() && !outcome_known) {
     cloud::Result<std::vector<MachineId>> granted = co_await context_.cloud().scale_out(request);
     spdlog::info("event=scale_out id={} type={} zone={} spot={} count={} outcome={} granted={}",
                  request.id.value, request.type, request.zone, request.spot, request.count,
                  net::to_string(granted.outcome), granted.value.size());
-    decided = granted.outcome != cloud::Outcome::unknown;
+    outcome_known = granted.outcome != cloud::Outcome::unknown;
     if (granted) {
       context_.events().push(core::ScaleOutGranted{request.id, std::move(granted.value)});
-    } else if (decided) {
+    } else if (outcome_known) {
       context_.events().push(core::ScaleOutRefused{request.id});
     } else {
-      // Repeated under the same id, which rents nothing twice, until the cloud decides.
+      // The request id makes the retry idempotent.
       co_await context_.loop().sleep(net::seconds(constants::kCloudRetryIntervalSeconds));
     }
   }
-  if (decided) deleter_.delete_later({key});
+  if (outcome_known) key_deleter_.enqueue({key});
 }
 
 net::Task<void> EffectExecutor::scale_in(core::RequestScaleIn effect) {
@@ -69,28 +69,28 @@
         co_await writer_.insert(effect.key, wire::machine_names(effect.machines), RequestPriority::normal);
     if (!written) co_return;
   }
-  const double recorded_s = context_.now() - requested_at;
+  const double persist_duration_s = context_.now() - requested_at;
   bool deleted = false;
   while (context_.alive() && !deleted) {
     const cloud::Outcome outcome = co_await context_.cloud().scale_in(effect.machines);
     spdlog::info("event=scale_in record={} machines={} first={} recorded_s={:.2f} took_s={:.2f} outcome={}",
                  effect.key, effect.machines.size(),
-                 effect.machines.empty() ? "" : effect.machines.front().value, recorded_s,
+                 effect.machines.empty() ? "" : effect.machines.front().value, persist_duration_s,
                  context_.now() - requested_at, net::to_string(outcome));
     deleted = outcome == cloud::Outcome::ok;
     if (!deleted) co_await context_.loop().sleep(net::seconds(constants::kCloudRetryIntervalSeconds));
   }
   if (!deleted) co_return;
   context_.events().push(core::MachinesDeleted{effect.key, effect.machines});
-  deleter_.delete_later({effect.key});
+  key_deleter_.enqueue({effect.key});
 }
 
 net::Task<void> EffectExecutor::send_stop_commands(core::SendStopCommands effect) {
   const auto address = net::Address::parse(effect.address);
   if (!address) co_return;
   auto& loop = context_.loop();
-  // After that the other tasks of the gang no longer wait for it, and the response to its worker's heartbeat
-  // tells it to stop as well.
+  // After this timeout, the gang's other tasks no longer wait for this worker's task. The response to the
+  // worker's next heartbeat carries the stop command too.
   const auto deadline = loop.now() + net::seconds(context_.config().gang_peer_timeout_s);
   const std::string body =
       wire::encode(wire::direct_commands(context_.token(), effect.incarnation, effect.commands));
--- a/src/app/effect_executor.hpp
+++ b/src/app/effect_executor.hpp
@@ -1,7 +1,7 @@
-// Executes the effects of the leader's state: calls of the cloud, direct worker commands, deletions of keys.
+// Executes the effects that the state machine emits: cloud calls, direct worker commands and key deletions.
 #pragma once
 
-#include "app/guarded_writer.hpp"
+#include "app/fenced_writer.hpp"
 #include "app/key_deleter.hpp"
 #include "app/term_context.hpp"
 #include "core/effects.hpp"
@@ -9,20 +9,21 @@
 
 namespace dockdyke::app {
 
-// Every effect is a detached task of the term; it is repeated until its outcome is known.
+// Runs each effect as a detached task of the term. Cloud calls are retried until their outcome is known.
 class EffectExecutor {
  public:
-  EffectExecutor(TermContext& context, GuardedWriter& writer, KeyDeleter& deleter);
+  EffectExecutor(TermContext& context, FencedWriter& writer, KeyDeleter& key_deleter);
 
-  // Starts the effect; its outcome comes back as an event.
+  // Starts the effect. The outcome of a cloud call is pushed to the event queue.
   void execute(core::Effect effect);
 
  private:
-  // PROTOCOL, "POST /machines". Stored first, so that a later leader completes a request without a response.
+  // Requests machines from the cloud. The request is persisted first, so that the next leader can complete it
+  // after a failover.
   net::Task<void> scale_out(core::RequestScaleOut effect);
-  // PROTOCOL, "POST /machines/delete".
+  // Deletes machines in the cloud. The request is persisted first, as in `scale_out`.
   net::Task<void> scale_in(core::RequestScaleIn effect);
-  // PROTOCOL, "POST /commands".
+  // Sends stop commands directly to a worker until it responds or the gang peer timeout has elapsed.
   net::Task<void> send_stop_commands(core::SendStopCommands effect);
 
   void start(core::RequestScaleOut effect);
@@ -31,8 +32,8 @@
   void start(core::DeleteKeys effect);
 
   TermContext& context_;
-  GuardedWriter& writer_;
-  KeyDeleter& deleter_;
+  FencedWriter& writer_;
+  KeyDeleter& key_deleter_;
 };
 
 }  // namespace dockdyke::app
--- a/src/app/event_queue.hpp
+++ b/src/app/event_queue.hpp
@@ -1,4 +1,4 @@
-// Events for the state of a leader's term, applied in batches by its main loop.
+// Queue of events that a leader term's main loop applies to the state machine in batches.
 #pragma once
 
 #include <utility>
@@ -9,7 +9,7 @@
 
 namespace dockdyke::app {
 
-// Unbounded: what pushes events is bounded itself.
+// The queue has no size limit; the sources of events are bounded themselves.
 class EventQueue {
  public:
   explicit EventQueue(net::Loop& loop) : wake_up_(loop) {}
@@ -18,11 +18,12 @@
     events_.push_back(std::move(event));
     wake();
   }
-  std::vector<core::Event> take() { return std::exchange(events_, {}); }
+  // Removes and returns all queued events.
+  std::vector<core::Event> take_all() { return std::exchange(events_, {}); }
 
-  // Wakes the main loop for something other than an event.
+  // Wakes the main loop without an event.
   void wake() { wake_up_.notify(); }
-  // Waits until something is pushed or `wake` is called, for at most `limit`. One coroutine may wait.
+  // Waits until an event is pushed or `wake` is called, for at most `limit`. Only one coroutine may wait.
   auto wait_for(net::Duration limit) { return wake_up_.wait_for(limit); }
 
  private:
--- a/src/app/guarded_writer.cpp
+++ b/src/app/fenced_writer.cpp
@@ -1,12 +1,12 @@
-#include "app/guarded_writer.hpp"
+#include "app/fenced_writer.hpp"
 
 #include <utility>
 
 namespace dockdyke::app {
 
-GuardedWriter::GuardedWriter(TermContext& context) : context_(context) {}
+FencedWriter::FencedWriter(TermContext& context) : context_(context) {}
 
-net::Task<bool> GuardedWriter::commit(wire::Transaction transaction, store::RequestPriority priority) {
+net::Task<bool> FencedWriter::commit(wire::Transaction transaction, store::RequestPriority priority) {
   transaction.preconditions.push_back(context_.leader_precondition());
   while (context_.alive()) {
     store::Result<store::Committed> committed =
@@ -17,8 +17,7 @@
         context_.report_superseded();
         co_return false;
       }
-      // The other precondition says that the key exists: an earlier call of this loop, whose response was
-      // lost, wrote it.
+      // The key exists already: a previous attempt whose response was lost has written it.
       co_return context_.alive();
     }
     co_await context_.retry_delay();
@@ -26,7 +25,7 @@
   co_return false;
 }
 
-net::Task<bool> GuardedWriter::insert(std::string key, wire::Json value, store::RequestPriority priority) {
+net::Task<bool> FencedWriter::insert(std::string key, wire::Json value, store::RequestPriority priority) {
   wire::Transaction transaction;
   transaction.preconditions.push_back({key, Revision(0)});
   transaction.puts.push_back({std::move(key), std::move(value), {}});
--- a/src/app/heartbeat_counter.hpp
+++ b/src/app/heartbeat_counter.hpp
@@ -1,4 +1,4 @@
-// Counts the heartbeats that arrived in the last seconds.
+// Counts the heartbeats received within a sliding window.
 #pragma once
 
 #include <array>
@@ -10,20 +10,20 @@
 
 namespace dockdyke::app {
 
-// A ring of one-second slots over constants::kHeartbeatCountWindowSeconds seconds.
+// Ring buffer with one slot per second of constants::kHeartbeatCountWindowSeconds.
 class HeartbeatCounter {
  public:
   void record(net::TimePoint now) {
     Slot& slot = slots_[slot_index(now)];
-    if (slot.second != second(now)) slot = {second(now), 0};
+    if (slot.second != to_second(now)) slot = {to_second(now), 0};
     ++slot.count;
   }
 
-  // Heartbeats in the present second and the full ones of the window before it.
-  std::uint64_t recent(net::TimePoint now) const {
+  // Returns the number of heartbeats in the current second and the preceding seconds of the window.
+  std::uint64_t recent_count(net::TimePoint now) const {
     std::uint64_t sum = 0;
     for (const auto& slot : slots_)
-      if (second(now) - slot.second < static_cast<std::int64_t>(slots_.size())) sum += slot.count;
+      if (to_second(now) - slot.second < static_cast<std::int64_t>(slots_.size())) sum += slot.count;
     return sum;
   }
 
@@ -32,11 +32,11 @@
     std::int64_t second = 0;
     std::uint64_t count = 0;
   };
-  static std::int64_t second(net::TimePoint now) {
+  static std::int64_t to_second(net::TimePoint now) {
     return std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
   }
   std::size_t slot_index(net::TimePoint now) const {
-    return static_cast<std::size_t>(second(now)) % slots_.size();
+    return static_cast<std::size_t>(to_second(now)) % slots_.size();
   }
 
   std::array<Slot, constants::kHeartbeatCountWindowSeconds> slots_{};
--- a/src/app/heartbeat_handler.hpp
+++ b/src/app/heartbeat_handler.hpp
@@ -1,12 +1,12 @@
-// Handles workers' heartbeats on the leader (PROTOCOL, "POST /v1/report").
+// Handles workers' heartbeats on the leader.
 #pragma once
 
 #include <cstddef>
 #include <optional>
 #include <vector>
 
-#include "app/heartbeat_silence.hpp"
-#include "app/response_holds.hpp"
+#include "app/heartbeat_gap.hpp"
+#include "app/held_responses.hpp"
 #include "app/term_context.hpp"
 #include "app/view_freshness.hpp"
 #include "core/leader_state_machine.hpp"
@@ -17,54 +17,55 @@
 
 namespace dockdyke::app {
 
-// At most constants::kHeartbeatQueueLimit heartbeats are queued; one more gets 503.
+// Queues at most constants::kHeartbeatQueueLimit heartbeats and responds to further ones with 503.
 class HeartbeatHandler {
  public:
   HeartbeatHandler(TermContext& context, core::LeaderStateMachine& state_machine,
-                   const ViewFreshness& freshness, ResponseHolds& holds);
+                   const ViewFreshness& freshness, HeldResponses& held_responses);
 
-  // Queues the heartbeat and responds once it is applied, which is not before the stored records are loaded:
-  // 200 with commands, or 503 where this leader must not respond or the response would come too late.
+  // Queues the heartbeat and responds after the main loop has applied it, which requires that the stored
+  // records are loaded. Responds with 200 and commands, or with 503 if the heartbeat is stale or not applied
+  // in time, or this leader's local view is too stale.
   net::Task<net::HttpResponse> handle(wire::Heartbeat heartbeat);
-  // Applies the queued heartbeats; called by the main loop. Ends the term when one shows a higher token.
+  // Applies the queued heartbeats; called by the main loop. Ends the term if a heartbeat has a higher token.
   void apply_queued(core::Time now);
-  HeartbeatSilence silence() const;
-  // Logs how heartbeats were answered since the last call.
-  void log_responses();
+  HeartbeatGap heartbeat_gap() const;
+  // Logs and resets the response counts.
+  void log_response_counts();
 
  private:
-  // Responses since the last log line. Those with status 200 renew the worker's lease; the others are 503.
+  // Responses since the last log line, by result. A response with status 200 renews the worker's lease.
   struct ResponseCounts {
-    std::size_t answered = 0;         // with status 200
-    std::size_t unacknowledged = 0;   // of these: to workers that had not shown this leader's token
-    std::size_t starts_withheld = 0;  // of these: without starts, since this leader's view may be too old
-    std::size_t stale_view = 0;       // refused: this leader's view is too old, or it is isolated
-    std::size_t queue_full = 0;       // refused
-    std::size_t stale_heartbeat = 0;  // refused: older than another one, or no longer awaited
-    std::size_t not_loaded = 0;       // refused: this leader had not read the records in time
-    std::size_t not_applied = 0;      // refused: the term ended, or the main loop did not come to it in time
+    std::size_t ok = 0;               // status 200
+    std::size_t unacknowledged = 0;   // of `ok`: the worker had not acknowledged this leader's token
+    std::size_t starts_withheld = 0;  // of `ok`: no start commands, since the local view was too stale
+    std::size_t stale_view = 0;       // 503: the local view was too stale, or this leader was isolated
+    std::size_t queue_full = 0;       // 503
+    std::size_t stale_heartbeat = 0;  // 503: a newer heartbeat of the machine was received
+    std::size_t not_loaded = 0;       // 503: the stored records were not loaded in time
+    std::size_t not_applied = 0;      // 503: the term ended, or the main loop did not apply it in time
   };
 
-  // Seconds a heartbeat may wait until it is applied.
+  // Returns how long a heartbeat may wait to be applied.
   double apply_timeout_s() const;
-  // 503; counts it.
-  static net::HttpResponse refuse(std::size_t& count);
+  // Increments the count and returns a 503 response.
+  static net::HttpResponse respond_unavailable(std::size_t& count);
 
   struct QueuedHeartbeat {
     wire::Heartbeat heartbeat;
     net::OneShot<core::HeartbeatOutcome> outcome;
-    net::TimePoint deadline;  // refused from then on
+    net::TimePoint deadline;  // after which `handle` has responded with 503
   };
 
   TermContext& context_;
   core::LeaderStateMachine& state_machine_;
   const ViewFreshness& freshness_;
-  ResponseHolds& holds_;
+  HeldResponses& held_responses_;
   std::vector<QueuedHeartbeat> queue_;
   net::TimePoint elected_at_;
-  // When the last heartbeat came that was accepted, or could not be yet since the records were not loaded.
+  // Time of the last accepted heartbeat; while the records are not loaded, of the last one received.
   std::optional<net::TimePoint> last_received_at_;
-  ResponseCounts responses_;
+  ResponseCounts response_counts_;
 };
 
 }  // namespace dockdyke::app
--- a/src/app/key_deleter.cpp
+++ b/src/app/key_deleter.cpp
@@ -6,14 +6,14 @@
 
 namespace dockdyke::app {
 
-KeyDeleter::KeyDeleter(TermContext& context, GuardedWriter& writer) : context_(context), writer_(writer) {}
+KeyDeleter::KeyDeleter(TermContext& context, FencedWriter& writer) : context_(context), writer_(writer) {}
 
-void KeyDeleter::delete_later(std::vector<std::string> keys) {
+void KeyDeleter::enqueue(std::vector<std::string> keys) {
   std::move(keys.begin(), keys.end(), std::back_inserter(queue_));
-  if (!running_) context_.spawn(delete_queued());
+  if (!running_) context_.spawn(delete_queued_keys());
 }
 
-net::Task<void> KeyDeleter::delete_queued() {
+net::Task<void> KeyDeleter::delete_queued_keys() {
   running_ = true;
   while (context_.alive() && !queue_.empty()) {
     const auto count = std::min(queue_.size(), context_.config().max_transaction_changes);
--- a/src/app/key_deleter.hpp
+++ b/src/app/key_deleter.hpp
@@ -1,29 +1,30 @@
-// Deletes keys that nobody needs any more, when there is budget for it.
+// Deletes obsolete keys of the state service at background priority.
 #pragma once
 
 #include <deque>
 #include <string>
 #include <vector>
 
-#include "app/guarded_writer.hpp"
+#include "app/fenced_writer.hpp"
 #include "app/term_context.hpp"
 #include "net/task.hpp"
 
 namespace dockdyke::app {
 
-// One transaction is in flight at a time: queued one by one, the deletions once filled the queue of the rate
-// limiter and had submissions refused.
+// Keeps one batched transaction in flight at a time, so that deletions do not fill the rate limiter's queue
+// and cause submissions to be refused.
 class KeyDeleter {
  public:
-  KeyDeleter(TermContext& context, GuardedWriter& writer);
+  KeyDeleter(TermContext& context, FencedWriter& writer);
 
-  void delete_later(std::vector<std::string> keys);
+  // Queues the keys for deletion.
+  void enqueue(std::vector<std::string> keys);
 
  private:
-  net::Task<void> delete_queued();
+  net::Task<void> delete_queued_keys();
 
   TermContext& context_;
-  GuardedWriter& writer_;
+  FencedWriter& writer_;
   std::deque<std::string> queue_;
   bool running_ = false;
 };
--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -1,4 +1,4 @@
-// One leadership: the owner of the cluster's state and of the parts that read, write and execute for it.
+// One term of leadership: owns the state machine and the components that load, persist and execute for it.
 #pragma once
 
 #include <functional>
@@ -8,13 +8,13 @@
 
 #include "app/cancellation_log.hpp"
 #include "app/effect_executor.hpp"
-#include "app/guarded_writer.hpp"
+#include "app/fenced_writer.hpp"
+#include "app/heartbeat_gap.hpp"
 #include "app/heartbeat_handler.hpp"
-#include "app/heartbeat_silence.hpp"
+#include "app/held_responses.hpp"
 #include "app/key_deleter.hpp"
 #include "app/record_loader.hpp"
 #include "app/record_watcher.hpp"
-#include "app/response_holds.hpp"
 #include "app/state_writer.hpp"
 #include "app/term_context.hpp"
 #include "app/view_freshness.hpp"
@@ -26,46 +26,46 @@
 
 namespace dockdyke::app {
 
-// Held by a shared pointer. Its detached coroutines share the ownership, so that the state outlives the last
-// call of a term that has ended.
+// Must be owned by a shared pointer. Its detached coroutines share the ownership, so that it outlives them
+// after the term has ended.
 class LeaderTerm : public std::enable_shared_from_this<LeaderTerm> {
  public:
   struct Listener {
-    // A newer leader exists.
+    // Called when a newer leader is detected.
     std::function<void()> on_superseded;
     StateWriter::CompletionListener on_job_completed;
   };
 
-  // `asked_at`: when the request was sent that made this controller the leader. `config` outlives the term.
+  // `requested_at` is when the leader's lease was requested. `config` must outlive the term.
   LeaderTerm(TermServices services, const core::ClusterConfig& config, store::Leadership leadership,
-             net::TimePoint asked_at, Listener listener);
+             net::TimePoint requested_at, Listener listener);
   LeaderTerm(const LeaderTerm&) = delete;
   LeaderTerm& operator=(const LeaderTerm&) = delete;
 
-  // Starts the main loop and the background tasks; `types` may be empty.
-  void start(const std::vector<wire::MachineType>& types);
-  // Nothing of this term goes on after its present call.
+  // Starts the main loop and the background tasks; `machine_types` may be empty.
+  void start(const std::vector<wire::MachineType>& machine_types);
+  // Ends the term. Its coroutines stop after their current call.
   void end() { context_.end(); }
 
   FencingToken token() const { return context_.token(); }
-  // Seconds since the election.
+  // Returns the seconds since the election.
   double age_s() const { return context_.now() - elected_at_; }
-  // The lease was renewed by a call sent at the given moment.
-  void lease_renewed(net::TimePoint sent_at) { freshness_.lease_renewed(sent_at); }
-  HeartbeatSilence heartbeat_silence() const { return heartbeats_.silence(); }
-  // Whether neither the state service nor any peer responds.
+  // Records that a call sent at `requested_at` renewed the lease.
+  void lease_renewed(net::TimePoint requested_at) { freshness_.lease_renewed(requested_at); }
+  HeartbeatGap heartbeat_gap() const { return heartbeat_handler_.heartbeat_gap(); }
+  // Sets whether neither the state service nor any peer responds.
   void set_isolated(bool isolated) { freshness_.set_isolated(isolated); }
   void push(core::Event event) { context_.events().push(std::move(event)); }
-  net::Task<net::HttpResponse> heartbeat(wire::Heartbeat heartbeat);
-  // The state of an active job; nothing when it is unknown here or its end is being stored.
+  net::Task<net::HttpResponse> handle_heartbeat(wire::Heartbeat heartbeat);
+  // Returns the progress of an active job, or std::nullopt if the job is unknown or its end is being stored.
   std::optional<core::JobProgress> progress(const JobId& id) const { return state_machine_.progress(id); }
 
  private:
-  // The main loop: only it and the responses to heartbeats change the state.
-  net::Task<void> run();
-  // Seconds until the main loop has something to do, at the latest.
+  // Only the main loop and heartbeat responses modify the state machine.
+  net::Task<void> run_main_loop();
+  // Returns the longest time that the main loop may wait for an event.
   double next_wakeup_s() const;
-  // True when a write has finished, so that held responses may be ready.
+  // Applies the queued events. Returns true if a write has finished, so that held responses may be ready.
   bool apply_events(core::Time now);
   net::Task<void> load_and_watch();
   net::Task<void> refresh_machine_list();
@@ -77,14 +77,14 @@
   core::Time elected_at_;
   core::LeaderStateMachine state_machine_;
   ViewFreshness freshness_;
-  ResponseHolds holds_;
-  HeartbeatHandler heartbeats_;
-  GuardedWriter guarded_writer_;
+  HeldResponses held_responses_;
+  HeartbeatHandler heartbeat_handler_;
+  FencedWriter fenced_writer_;
   KeyDeleter key_deleter_;
   StateWriter state_writer_;
-  EffectExecutor effects_;
-  RecordLoader loader_;
-  RecordWatcher watcher_;
+  EffectExecutor effect_executor_;
+  RecordLoader record_loader_;
+  RecordWatcher record_watcher_;
   CancellationLog cancellation_log_;
 };
 
--- a/src/app/machine_type_catalog.hpp
+++ b/src/app/machine_type_catalog.hpp
@@ -1,4 +1,4 @@
-// The machine types the cloud offers, as this controller knows them.
+// Catalog of the machine types that the cloud offers.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 
 namespace dockdyke::app {
 
-// Empty until the types have been read from the cloud or, during an outage of the cloud, from the state
+// Empty until the types have been fetched from the cloud or, during a cloud outage, loaded from the state
 // service.
 class MachineTypeCatalog {
  public:
--- a/src/app/machine_type_refresher.cpp
+++ b/src/app/machine_type_refresher.cpp
@@ -14,7 +14,7 @@
                                            MachineTypeCatalog& catalog)
     : loop_(loop), cloud_(cloud), state_(state), leadership_(leadership), catalog_(catalog) {}
 
-void MachineTypeRefresher::adopt(std::vector<wire::MachineType> types) {
+void MachineTypeRefresher::update_catalog(std::vector<wire::MachineType> types) {
   catalog_.replace(std::move(types));
   if (leadership_.leading()) leadership_.term()->push(core::MachineTypesChanged{catalog_.types()});
 }
@@ -25,7 +25,7 @@
   const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
   store::Result<store::Committed> committed =
       co_await state_.commit(std::move(transaction), store::RequestPriority::background, deadline);
-  // A value that is too large stays too large.
+  // A rejected value is too large, so a retry would fail too.
   stored_ = committed.outcome == store::Outcome::ok || committed.outcome == store::Outcome::rejected;
 }
 
@@ -34,7 +34,7 @@
   store::Result<wire::KeyValue> stored = co_await state_.get(core::key::kMachineTypes, deadline);
   if (!stored) co_return;
   try {
-    adopt(wire::parse_machine_types(stored.value.value));
+    update_catalog(wire::parse_machine_types(stored.value.value));
   } catch (const wire::Malformed& error) {
     spdlog::error("event=malformed_record key={} error=\"{}\"", core::key::kMachineTypes, error.what());
   }
@@ -44,7 +44,7 @@
   for (;;) {
     cloud::Result<std::vector<wire::MachineType>> offered = co_await cloud_.machine_types();
     if (offered && !offered.value.empty()) {
-      adopt(std::move(offered.value));
+      update_catalog(std::move(offered.value));
       if (leadership_.leading() && !stored_) co_await store_types();
     } else if (!catalog_.known()) {
       co_await load_stored_types();
--- a/src/app/machine_type_refresher.hpp
+++ b/src/app/machine_type_refresher.hpp
@@ -1,4 +1,4 @@
-// Keeps the catalog of machine types and their prices up to date (PROTOCOL, "GET /flavors").
+// Refreshes the catalog of machine types and their prices.
 #pragma once
 
 #include <vector>
@@ -12,22 +12,22 @@
 
 namespace dockdyke::app {
 
-// Runs on every controller. The leader also stores the types, once.
+// Runs on every controller. The leader also persists the types once.
 class MachineTypeRefresher {
  public:
   MachineTypeRefresher(net::Loop& loop, cloud::CloudClient& cloud, store::StateClient& state,
                        const LeadershipState& leadership, MachineTypeCatalog& catalog);
 
-  // Reads the types again and again; never returns.
+  // Fetches the types periodically; never returns.
   net::Task<void> run();
 
  private:
-  // Replaces the catalog and tells the leader's term, if there is one.
-  void adopt(std::vector<wire::MachineType> types);
-  // Stores the catalog so that a controller that restarts while the cloud is out can still decide on
+  // Replaces the catalog's types and, on the leader, pushes them to the term.
+  void update_catalog(std::vector<wire::MachineType> types);
+  // Persists the catalog, so that a controller restarted during a cloud outage can still validate
   // submissions.
   net::Task<void> store_types();
-  // Adopts what an earlier leader stored.
+  // Loads the types that a leader has persisted.
   net::Task<void> load_stored_types();
 
   net::Loop& loop_;
@@ -35,7 +35,7 @@
   store::StateClient& state_;
   const LeadershipState& leadership_;
   MachineTypeCatalog& catalog_;
-  bool stored_ = false;  // by this process, or too large to be stored
+  bool stored_ = false;  // persisted by this process, or too large to be persisted
 };
 
 }  // namespace dockdyke::app
--- a/src/app/peer_monitor.cpp
+++ b/src/app/peer_monitor.cpp
@@ -38,30 +38,30 @@
 }
 
 net::Task<void> PeerMonitor::check_peers() {
-  bool reaches_state = false;
+  bool peer_reaches_state = false;
   bool any_response = peers_.empty();
   for (const auto& controller : peers_) {
     const std::optional<peer::PeerStatus> status =
         co_await peer::fetch_status(transport_, controller.address);
     if (!status) continue;
     any_response = true;
-    reaches_state = reaches_state || status->state_reachable;
-    if (status->leading) consider_leader_claim(controller, *status);
+    peer_reaches_state = peer_reaches_state || status->state_reachable;
+    if (status->leading) handle_leader_claim(controller, *status);
   }
-  peer_reaches_state_ = reaches_state;
-  // With neither the state service nor any peer responding, it is most likely this controller that is
-  // isolated, and another leads by now. Workers that still reach this one would stay here, where nothing new
-  // can start.
+  peer_reaches_state_ = peer_reaches_state;
+  // If neither the state service nor any peer responds, this controller is probably partitioned and another
+  // one has become the leader. Workers that can still reach this one must switch to the new leader, since
+  // this one can't start tasks.
   isolated_ = !any_response;
   if (leadership_.leading()) leadership_.term()->set_isolated(isolated_);
 }
 
-void PeerMonitor::consider_leader_claim(const PeerController& controller, const peer::PeerStatus& status) {
+void PeerMonitor::handle_leader_claim(const PeerController& controller, const peer::PeerStatus& status) {
   if (leadership_.leading() && status.token > leadership_.term()->token().value) {
     spdlog::info("event=newer_leader host={} token={}", controller.host, status.token);
     election_.step_down(store::LeadershipEnd::newer_leader);
   }
-  // After step_down this controller is a follower and may adopt the claim.
+  // Also reached after step_down(), which makes this controller a follower.
   if (!leadership_.leading()) leadership_.set_leader_host(controller.host);
 }
 
--- a/src/app/peer_monitor.hpp
+++ b/src/app/peer_monitor.hpp
@@ -1,5 +1,5 @@
-// Watches the peers while the state service does not respond, to tell an outage for all from one for this
-// controller alone (PROTOCOL, "Outages and cuts").
+// Polls the peers while the state service is unreachable, to distinguish an outage of the service from a
+// network partition of this controller.
 #pragma once
 
 #include <vector>
@@ -16,24 +16,24 @@
 
 namespace dockdyke::app {
 
-// While the state service responds, it checks instead whether workers reach this leader.
+// While the state service is reachable, checks instead whether workers can reach this leader.
 class PeerMonitor {
  public:
   PeerMonitor(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
               store::Election& election, LeadershipState& leadership, const Settings& settings);
 
-  // Checks at an interval; never returns.
+  // Runs the checks periodically; never returns.
   net::Task<void> run();
 
-  // True while the state service does not respond to this controller and others are the better choice: a peer
-  // reaches the state service, or this controller is isolated from all peers.
+  // Returns whether users should be routed to other controllers: the state service is unreachable from this
+  // controller, and either a peer can reach it or no peer responds.
   bool peers_preferred() const { return state_.unreachable() && (peer_reaches_state_ || isolated_); }
 
  private:
   void clear_state_outage();
   net::Task<void> check_peers();
-  // A peer says that it leads.
-  void consider_leader_claim(const PeerController& controller, const peer::PeerStatus& status);
+  // Handles the status of a peer that claims to be the leader.
+  void handle_leader_claim(const PeerController& controller, const peer::PeerStatus& status);
 
   net::Loop& loop_;
   net::Transport& transport_;
@@ -42,7 +42,7 @@
   LeadershipState& leadership_;
   const std::vector<PeerController>& peers_;
   WorkerReachabilityMonitor worker_reachability_;
-  bool peer_reaches_state_ = false;  // while the state service does not respond to this controller
+  bool peer_reaches_state_ = false;  // while this controller can't reach the state service
   bool isolated_ = false;            // neither the state service nor any peer responds
 };
 
--- a/src/app/peer_notifier.cpp
+++ b/src/app/peer_notifier.cpp
@@ -8,12 +8,12 @@
 PeerNotifier::PeerNotifier(net::Transport& transport, const std::vector<PeerController>& peers)
     : transport_(transport), peers_(peers) {}
 
-void PeerNotifier::job_cancelled(const JobId& id) const {
+void PeerNotifier::notify_job_cancelled(const JobId& id) const {
   for (const auto& controller : peers_)
     net::spawn(peer::notify_cancelled(transport_, controller.address, id));
 }
 
-void PeerNotifier::write_limit_lowered() const {
+void PeerNotifier::notify_write_limit_lowered() const {
   for (const auto& controller : peers_) net::spawn(peer::notify_write_limit(transport_, controller.address));
 }
 
--- a/src/app/peer_notifier.hpp
+++ b/src/app/peer_notifier.hpp
@@ -1,4 +1,4 @@
-// One-way messages to all peers. Correctness never depends on their arrival.
+// Sends best-effort notifications to all peers. Correctness does not depend on their delivery.
 #pragma once
 
 #include <vector>
@@ -9,16 +9,16 @@
 
 namespace dockdyke::app {
 
-// Each message is a detached call; the transport and the list of peers outlive it.
+// Each notification is a detached call. The transport and the list of peers must outlive it.
 class PeerNotifier {
  public:
   PeerNotifier(net::Transport& transport, const std::vector<PeerController>& peers);
 
-  // The cancellation is stored. The leader learns of it by its watch, unless the state service refuses the
-  // leader alone. All peers are told, since the leader may be another than the one known here.
-  void job_cancelled(const JobId& id) const;
-  // The state service has put its announced lower limit of writes in force.
-  void write_limit_lowered() const;
+  // Notifies all peers of a stored cancellation, since the leader known here may be outdated. The leader also
+  // receives it through its watch, unless it alone can't reach the state service.
+  void notify_job_cancelled(const JobId& id) const;
+  // Notifies all peers that the state service enforces the lower write limit that it announced.
+  void notify_write_limit_lowered() const;
 
  private:
   net::Transport& transport_;
--- a/src/app/rate_share_manager.cpp
+++ b/src/app/rate_share_manager.cpp
@@ -7,9 +7,9 @@
 namespace dockdyke::app {
 
 RateShareManager::RateShareManager(store::StateClient& state, const LeadershipState& leadership,
-                                   const PeerNotifier& peers, std::size_t peer_count)
-    : state_(state), leadership_(leadership), peers_(peers), peer_count_(peer_count) {
-  state_.on_write_limit_seen([this] { write_limit_seen(); });
+                                   const PeerNotifier& peer_notifier, std::size_t peer_count)
+    : state_(state), leadership_(leadership), peer_notifier_(peer_notifier), peer_count_(peer_count) {
+  state_.on_write_limit_seen([this] { on_write_limit_lowered(); });
 }
 
 void RateShareManager::apply_shares() {
@@ -34,10 +34,10 @@
   update_term_write_rate();
 }
 
-void RateShareManager::write_limit_seen() {
+void RateShareManager::on_write_limit_lowered() {
   spdlog::info("event=write_limit_lowered writes_per_second={}", state_.write_limit());
   update_term_write_rate();
-  peers_.write_limit_lowered();
+  peer_notifier_.notify_write_limit_lowered();
 }
 
 }  // namespace dockdyke::app
--- a/src/app/rate_share_manager.hpp
+++ b/src/app/rate_share_manager.hpp
@@ -1,4 +1,4 @@
-// This controller's share of the state service's rate limits, by its role (PROTOCOL, "Limits and errors").
+// Sets this controller's share of the state service's rate limits according to its role.
 #pragma once
 
 #include <cstddef>
@@ -9,26 +9,27 @@
 
 namespace dockdyke::app {
 
-// The leader has the larger share; the followers split what they may use among them.
+// The leader gets the larger share; the followers divide a smaller one equally.
 class RateShareManager {
  public:
-  // Listens to `state` for the announced lower limit of writes. Must outlive the calls of `state`.
-  RateShareManager(store::StateClient& state, const LeadershipState& leadership, const PeerNotifier& peers,
-                   std::size_t peer_count);
+  // Registers with `state` a callback for the lower write limit, so it must outlive all calls of `state`.
+  RateShareManager(store::StateClient& state, const LeadershipState& leadership,
+                   const PeerNotifier& peer_notifier, std::size_t peer_count);
 
-  // Sets the shares for the present role; to be called after each change of it.
+  // Sets the shares for the current role; to be called after each change of role.
   void apply_shares();
-  // Tells the leader's term, if there is one, of a lower limit that is in force.
+  // On the leader, pushes the lowered write limit to the term if the limit is in force.
   void update_term_write_rate();
-  // A peer has seen the announced lower limit in force.
+  // Applies the announced lower write limit; called when a peer has observed that it is in force.
   void lower_write_limit();
 
  private:
-  void write_limit_seen();
+  // Called when this controller's state client observes that the lower write limit is in force.
+  void on_write_limit_lowered();
 
   store::StateClient& state_;
   const LeadershipState& leadership_;
-  const PeerNotifier& peers_;
+  const PeerNotifier& peer_notifier_;
   std::size_t peer_count_;
 };
 
--- a/src/app/record_loader.cpp
+++ b/src/app/record_loader.cpp
@@ -59,8 +59,9 @@
   co_return std::move(page.value);
 }
 
-void RecordLoader::append(const wire::KeyPage& page, const Parser& parse, std::vector<core::Event>& events) {
-  // A record that can't be read must not end one leader after the other.
+void RecordLoader::append_events(const wire::KeyPage& page, const Parser& parse,
+                                 std::vector<core::Event>& events) {
+  // Skips malformed records; otherwise they would make every new leader fail.
   for (const auto& item : page.items) {
     try {
       events.push_back(parse(item));
@@ -75,8 +76,8 @@
     const std::string& prefix;
     Parser parse;
   };
-  // Active jobs first: one that is cancelled in between is then found active, and the watch tells of its end.
-  // The other way round it would be in neither list, and its tasks would no longer count.
+  // Active jobs are listed before terminating ones. A job that is cancelled in between is then loaded as
+  // active and the watch delivers its cancellation. In the reverse order it would appear in neither list.
   const std::vector<Source> sources{
       {core::key::kActivePrefix, parse_active_job},  {core::key::kTerminatingPrefix, parse_terminating_job},
       {core::key::kSegmentPrefix, parse_segment},    {core::key::kGangPrefix, parse_gang_part},
@@ -86,10 +87,10 @@
   for (const auto& source : sources) {
     std::optional<wire::KeyPage> page = co_await list(source.prefix);
     if (!page) co_return std::nullopt;
-    // The watch begins at the reading of the active jobs, whatever the later readings already show.
+    // The watch starts at the revision of the active jobs, the first list, so that no change is missed.
     if (first) records.revision = page->revision;
     first = false;
-    append(*page, source.parse, records.events);
+    append_events(*page, source.parse, records.events);
   }
   co_return records;
 }
--- a/src/app/record_loader.hpp
+++ b/src/app/record_loader.hpp
@@ -1,4 +1,4 @@
-// Reads all stored records at the beginning of a leader's term.
+// Loads all stored records at the start of a leader's term.
 #pragma once
 
 #include <cstddef>
@@ -14,31 +14,32 @@
 
 namespace dockdyke::app {
 
-// All records of one reading, as events, and the revision from which changes are to be watched.
+// The events for all stored records, and the revision after which changes must be watched.
 struct LoadedRecords {
   std::vector<core::Event> events;
   Revision revision;
-  std::size_t attempts = 0;  // readings, the last of which succeeded
+  std::size_t attempts = 0;  // including the successful one
 };
 
-// Malformed records are logged and skipped.
+// Logs and skips malformed records.
 class RecordLoader {
  public:
   explicit RecordLoader(TermContext& context);
 
-  // Repeats the reading until it succeeds; nothing when the term has ended. All or nothing: a job of a
-  // reading that failed half-way may be cancelled before the next one begins, and neither that reading nor
-  // the watch after it would tell.
+  // Loads the records, with retries, or returns std::nullopt if the term has ended. The records of a failed
+  // attempt are discarded: a job among them may be cancelled before the next attempt, and neither that
+  // attempt nor the watch after it would reveal the cancellation.
   net::Task<std::optional<LoadedRecords>> load();
 
  private:
-  // Makes an event of a record; throws wire::Malformed.
+  // Converts a record to an event; throws wire::Malformed.
   using Parser = std::function<core::Event(const wire::KeyValue&)>;
 
   net::Task<std::optional<LoadedRecords>> try_load();
-  // The records with the prefix; nothing when the call failed or the term has ended.
+  // Returns the records with the prefix, or std::nullopt if the call failed or the term has ended.
   net::Task<std::optional<wire::KeyPage>> list(std::string prefix);
-  static void append(const wire::KeyPage& page, const Parser& parse, std::vector<core::Event>& events);
+  // Parses the records of the page and appends them to `events`.
+  static void append_events(const wire::KeyPage& page, const Parser& parse, std::vector<core::Event>& events);
 
   TermContext& context_;
 };
--- a/src/app/record_watcher.cpp
+++ b/src/app/record_watcher.cpp
@@ -20,16 +20,16 @@
 net::Task<void> RecordWatcher::run(Revision after) {
   watched_revision_ = after;
   while (context_.alive()) {
-    const auto sent_at = context_.loop().now();
+    const auto requested_at = context_.loop().now();
     store::Result<wire::KeyEvents> changes = co_await context_.state().watch(
         core::key::kActivePrefix, watched_revision_, freshness_.watch_timeout_s());
     if (!context_.alive()) co_return;
     if (changes.outcome == Outcome::expired) {
       co_await reconcile();
     } else if (changes) {
-      apply(changes.value);
-      // Whatever was cancelled before this call was sent is known now.
-      freshness_.watch_completed(sent_at);
+      apply_events(changes.value);
+      // All cancellations stored before this call was sent are known now.
+      freshness_.watch_completed(requested_at);
     } else {
       ++failed_watches_;
       co_await context_.retry_delay();
@@ -37,13 +37,13 @@
   }
 }
 
-void RecordWatcher::apply(const wire::KeyEvents& changes) {
+void RecordWatcher::apply_events(const wire::KeyEvents& changes) {
   for (const auto& change : changes.events) {
     const JobId id(change.key.substr(core::key::kActivePrefix.size()));
     if (!change.value) {
       context_.events().push(core::JobRecordDeleted{id});
     } else if (!state_machine_.job(id)) {
-      // This leader's own writes come back here too; only records of unknown jobs are parsed.
+      // The watch also returns this leader's own writes, so records of known jobs are skipped.
       push_submission(change.key, *change.value, change.version);
     }
   }
@@ -59,11 +59,11 @@
     push_submission(item.key, item.value, item.version);
   }
   for (const auto& id : state_machine_.active_jobs())
-    if (!present.contains(core::key::active_job(id))) context_.spawn(confirm_removal(id));
+    if (!present.contains(core::key::active_job(id))) context_.spawn(confirm_deletion(id));
   watched_revision_ = page.value.revision;
 }
 
-net::Task<void> RecordWatcher::confirm_removal(JobId id) {
+net::Task<void> RecordWatcher::confirm_deletion(JobId id) {
   while (context_.alive()) {
     store::Result<wire::KeyValue> record =
         co_await context_.state().get(core::key::active_job(id), context_.background_deadline());
--- a/src/app/record_watcher.hpp
+++ b/src/app/record_watcher.hpp
@@ -1,5 +1,4 @@
-// Watches the records of active jobs for submissions and cancellations by other controllers (PROTOCOL, "GET
-// /watch").
+// Watches the records of active jobs for submissions and cancellations by other controllers.
 #pragma once
 
 #include <cstddef>
@@ -13,26 +12,27 @@
 
 namespace dockdyke::app {
 
-// A completed watch proves the view of the state machine fresh.
+// Each completed watch call resets the staleness of the leader's local view.
 class RecordWatcher {
  public:
   RecordWatcher(TermContext& context, const core::LeaderStateMachine& state_machine,
                 ViewFreshness& freshness);
 
-  // Watches for changes after the revision until the term ends.
+  // Watches for changes after the given revision until the term ends.
   net::Task<void> run(Revision after);
-  // Up to which all changes are known.
+  // Returns the revision up to which all changes are known.
   Revision watched_revision() const { return watched_revision_; }
-  // Watches without a response, or refused, in this term.
+  // Returns the number of watch calls in this term that failed.
   std::size_t failed_watches() const { return failed_watches_; }
 
  private:
-  void apply(const wire::KeyEvents& changes);
-  // Too much has happened since the watched revision: compares the present records with the state.
+  void apply_events(const wire::KeyEvents& changes);
+  // Compares the stored records with the state machine. Used if the state service no longer keeps the changes
+  // since the watched revision.
   net::Task<void> reconcile();
-  // Asks until the state service tells whether the job is still active.
-  net::Task<void> confirm_removal(JobId id);
-  // Pushes a record as a submitted job.
+  // Reads the job's record, with retries, and pushes a deletion event if it no longer exists.
+  net::Task<void> confirm_deletion(JobId id);
+  // Parses the record and pushes a submission event.
   void push_submission(const std::string& key, const wire::Json& value, Revision version);
 
   TermContext& context_;
--- a/src/app/state_writer.cpp
+++ b/src/app/state_writer.cpp
@@ -16,31 +16,31 @@
                          CompletionListener on_job_completed)
     : context_(context), state_machine_(state_machine), on_job_completed_(std::move(on_job_completed)) {}
 
-bool StateWriter::may_start() const {
+bool StateWriter::can_start_write() const {
   return in_flight_ < constants::kMaxWritesInFlight;
 }
 
 std::optional<double> StateWriter::next_due_in_s() const {
-  if (!may_start()) return std::nullopt;
+  if (!can_start_write()) return std::nullopt;
   return state_machine_.next_write_due_in(context_.now());
 }
 
 void StateWriter::start_due_writes() {
-  while (may_start()) {
+  while (can_start_write()) {
     auto write = state_machine_.next_write(context_.now());
     if (!write) return;
     ++in_flight_;
-    context_.spawn(run(*std::move(write)));
+    context_.spawn(run_write(*std::move(write)));
   }
 }
 
-net::Task<void> StateWriter::run(core::StateWrite write) {
+net::Task<void> StateWriter::run_write(core::StateWrite write) {
   write.transaction.preconditions.push_back(context_.leader_precondition());
   const RequestPriority priority = write.urgent ? RequestPriority::high : RequestPriority::normal;
   while (context_.alive()) {
     store::Result<store::Committed> committed =
         co_await context_.state().commit(write.transaction, priority, context_.background_deadline());
-    if (!context_.alive() || finish(write, committed)) break;
+    if (!context_.alive() || handle_outcome(write, committed)) break;
     const bool rejected = committed.outcome == Outcome::rejected;
     if (rejected) {
       spdlog::error("event=write_rejected number={}", write.number);
@@ -48,16 +48,16 @@
     }
     co_await context_.retry_delay();
     if (rejected) break;
-    // Refused, or perhaps applied: the same transaction again, which its preconditions keep from being
-    // applied twice.
+    // The transaction was refused or its outcome is unknown. The retry is safe, since its preconditions
+    // prevent it from being applied twice.
   }
   --in_flight_;
   context_.events().wake();
 }
 
-bool StateWriter::finish(const core::StateWrite& write, store::Result<store::Committed>& committed) {
+bool StateWriter::handle_outcome(const core::StateWrite& write, store::Result<store::Committed>& committed) {
   if (committed) {
-    for (const auto& id : write.completed_jobs) report_completion(id);
+    for (const auto& id : write.completed_jobs) notify_job_completed(id);
     context_.events().push(core::WriteApplied{write.number});
     return true;
   }
@@ -71,7 +71,7 @@
   return true;
 }
 
-void StateWriter::report_completion(const JobId& id) const {
+void StateWriter::notify_job_completed(const JobId& id) const {
   const core::Job* job = state_machine_.job(id);
   if (!job) return;
   spdlog::debug(
--- a/src/app/state_writer.hpp
+++ b/src/app/state_writer.hpp
@@ -1,4 +1,4 @@
-// Writes the transactions that the leader's state asks for, several at a time.
+// Commits the state machine's pending transactions to the state service, several concurrently.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +14,29 @@
 
 namespace dockdyke::app {
 
-// At most constants::kMaxWritesInFlight writes are in flight.
+// Keeps at most constants::kMaxWritesInFlight writes in flight.
 class StateWriter {
  public:
-  // A job's completion is stored.
+  // Called when a job's completion is stored.
   using CompletionListener = std::function<void(const JobId&, const wire::JobStatus&)>;
 
   StateWriter(TermContext& context, core::LeaderStateMachine& state_machine,
               CompletionListener on_job_completed);
 
-  // Starts all writes that are due and may be in flight.
+  // Starts the writes that are due, up to the limit of writes in flight.
   void start_due_writes();
-  // Seconds until the next write is due; nothing while none can be started.
+  // Returns the seconds until the next write is due, or std::nullopt if none is pending or can be started.
   std::optional<double> next_due_in_s() const;
   std::size_t in_flight() const { return in_flight_; }
 
  private:
-  bool may_start() const;
-  // Repeats the write until its outcome is known, and tells the state machine.
-  net::Task<void> run(core::StateWrite write);
-  // True when the outcome is final: applied, or in conflict.
-  bool finish(const core::StateWrite& write, store::Result<store::Committed>& committed);
-  void report_completion(const JobId& id) const;
+  bool can_start_write() const;
+  // Commits the write, with retries, and pushes its outcome to the event queue.
+  net::Task<void> run_write(core::StateWrite write);
+  // Handles the result of a commit. Returns true if it is final: applied or in conflict.
+  bool handle_outcome(const core::StateWrite& write, store::Result<store::Committed>& committed);
+  // Logs the completion and notifies the listener.
+  void notify_job_completed(const JobId& id) const;
 
   TermContext& context_;
   core::LeaderStateMachine& state_machine_;
--- a/src/app/term_context.cpp
+++ b/src/app/term_context.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-// `owner` is not used: the coroutine's frame holds it until the task has ended.
+// Keeps `owner` alive until the task has ended.
 net::Task<void> run_with_owner([[maybe_unused]] std::shared_ptr<const void> owner, net::Task<void> task) {
   co_await task;
 }
 
 }  // namespace
 
-core::Time core_time(net::TimePoint time) {
+core::Time to_core_time(net::TimePoint time) {
   return std::chrono::duration<double>(time.time_since_epoch()).count();
 }
 
@@ -61,7 +61,7 @@
 }
 
 core::Time TermContext::now() const {
-  return core_time(services_.loop.now());
+  return to_core_time(services_.loop.now());
 }
 
 net::Loop::Sleep TermContext::retry_delay() const {
--- a/src/app/term_context.hpp
+++ b/src/app/term_context.hpp
@@ -1,4 +1,4 @@
-// What all parts of a leader's term share: services, lifetime, fencing token and event queue.
+// Context shared by the components of a leader's term: services, lifetime, fencing token and event queue.
 #pragma once
 
 #include <cstddef>
@@ -17,31 +17,31 @@
 
 namespace dockdyke::app {
 
-// The services a term works with. They outlive every term.
+// External services that a term uses. They must outlive the term.
 struct TermServices {
   net::Loop& loop;
   store::StateClient& state;
   cloud::CloudClient& cloud;
   net::Transport& transport;       // to workers
-  std::size_t max_held_responses;  // to workers at the same time, as far as connections allow
+  std::size_t max_held_responses;  // limit of heartbeat responses held at the same time
 };
 
-// Owned by the term. Parts refer to it and never to each other's fields.
+// Owned by the term; its components hold references to it.
 class TermContext {
  public:
-  // `on_superseded` is called when something shows that a newer leader exists.
+  // `on_superseded` is called when a newer leader is detected.
   TermContext(TermServices services, const core::ClusterConfig& config, FencingToken token,
               std::function<void()> on_superseded);
 
-  // The object whose parts run the spawned tasks; to be set before the first `spawn`.
+  // Sets the object that spawned tasks keep alive; must be called before the first `spawn`.
   void set_owner(std::weak_ptr<const void> owner);
-  // Runs a task of the term on its own. The owner lives at least until the task has ended.
+  // Runs a detached task. The owner is kept alive until the task has ended.
   void spawn(net::Task<void> task);
 
-  // False once the leadership has ended: whatever a task does after a suspension is done only while true.
+  // Returns false once the term has ended. Tasks must check this after each suspension.
   bool alive() const { return alive_; }
   void end();
-  // A newer leader exists: ends the leadership, unless it has ended already.
+  // Handles the detection of a newer leader: ends the leadership, unless it has ended already.
   void report_superseded();
 
   net::Loop& loop() const { return services_.loop; }
@@ -51,15 +51,15 @@
   const core::ClusterConfig& config() const { return config_; }
   EventQueue& events() { return events_; }
   FencingToken token() const { return token_; }
-  // Holds while no other controller has become the leader.
+  // Returns the precondition that no other controller has become the leader.
   wire::Precondition leader_precondition() const;
-  // Whether a transaction failed since another controller is the leader.
+  // Returns whether a transaction failed because another controller has become the leader.
   static bool leader_changed(const store::Committed& committed);
-  // The present time as the state machine counts it (s).
+  // Returns the current time as used by the state machine.
   core::Time now() const;
-  // Waits before a failed background call is repeated.
+  // Waits before a failed background call is retried.
   net::Loop::Sleep retry_delay() const;
-  // Until when a background call may take.
+  // Returns the deadline for a background call that starts now.
   net::TimePoint background_deadline() const;
 
  private:
@@ -72,7 +72,7 @@
   bool alive_ = true;
 };
 
-// A moment of the steady clock as the state machine counts it (s).
-core::Time core_time(net::TimePoint time);
+// Converts a time of the steady clock to the state machine's time, in seconds.
+core::Time to_core_time(net::TimePoint time);
 
 }  // namespace dockdyke::app
--- a/src/app/view_freshness.hpp
+++ b/src/app/view_freshness.hpp
@@ -1,5 +1,5 @@
-// How old a leader's view of the state machine may be, and what it may still do with it (PROTOCOL, "Outages
-// and cuts").
+// Tracks the staleness of a leader's local view and decides whether it may respond to workers and start
+// tasks.
 #pragma once
 
 #include <optional>
@@ -9,40 +9,43 @@
 
 namespace dockdyke::app {
 
-// The view is as old as the older of the last confirmed lease renewal and the last completed watch, each
-// counted from when its request was sent.
+// The staleness is the longer of the times since the last confirmed lease renewal and the last completed
+// watch were requested.
 class ViewFreshness {
  public:
-  // `elected_by`: when the request was sent that made this controller the leader.
-  ViewFreshness(const net::Loop& loop, const core::ClusterConfig& config, net::TimePoint elected_by);
-
-  void lease_renewed(net::TimePoint sent_at);
-  void watch_completed(net::TimePoint sent_at);
-  // Whether neither the state service nor any peer responds.
+  // `requested_at` is when the leader's lease was requested.
+  ViewFreshness(const net::Loop& loop, const core::ClusterConfig& config, net::TimePoint requested_at);
+
+  // Records that a call sent at `requested_at` renewed the lease.
+  void lease_renewed(net::TimePoint requested_at);
+  // Records that a watch sent at `requested_at` has completed.
+  void watch_completed(net::TimePoint requested_at);
+  // Sets whether neither the state service nor any peer responds.
   void set_isolated(bool isolated);
 
-  // Seconds since the last moment of which everything is known.
+  // Returns the time since the last moment up to which the local view is known to be complete.
   double staleness_s() const;
-  // Seconds since the last confirmed renewal of the lease, and since the last completed watch, was asked for.
+  // Returns the time since the last confirmed lease renewal, or the last completed watch, was requested.
   double lease_age_s() const;
   double watch_age_s() const;
-  // Seconds a watch may wait at the state service.
+  // Returns how long the state service may hold a watch request without a change.
   double watch_timeout_s() const;
-  // A leader cut off from the state service must not keep tasks alive for long that others may have cancelled
-  // meanwhile.
-  bool may_answer_workers() const;
+  // Returns whether heartbeats may be accepted. A leader that is partitioned from the state service must stop
+  // renewing workers' leases in time, since other controllers may have cancelled their tasks.
+  bool may_respond_to_workers() const;
+  // Returns whether heartbeat responses may contain start commands.
   bool may_start_tasks() const;
 
  private:
-  // The staleness from which on workers are no longer answered.
+  // Returns the staleness at which heartbeats are refused.
   double max_staleness_s() const;
   bool isolated_too_long() const;
 
   const net::Loop& loop_;
   const core::ClusterConfig& config_;
-  net::TimePoint renewed_at_;
-  net::TimePoint watched_at_;
-  std::optional<net::TimePoint> isolated_since_;
+  net::TimePoint lease_requested_at_;
+  net::TimePoint watch_requested_at_;
+  std::optional<net::TimePoint> isolated_at_;
 };
 
 }  // namespace dockdyke::app
--- a/src/app/worker_reachability_monitor.hpp
+++ b/src/app/worker_reachability_monitor.hpp
@@ -1,4 +1,4 @@
-// Detects a leader that its workers can't reach and transfers the leadership.
+// Transfers the leadership if the workers can't reach this leader.
 #pragma once
 
 #include <cstddef>
@@ -14,24 +14,25 @@
 
 namespace dockdyke::app {
 
-// Such a leader renews its lease and serves users, but no heartbeat gets through to it: all leases of its
-// workers would expire (PROTOCOL, "Leases").
+// Such a leader still renews its own lease and serves users, but it receives no heartbeats, so the leases of
+// all workers would expire.
 class WorkerReachabilityMonitor {
  public:
   WorkerReachabilityMonitor(net::Transport& transport, store::Election& election,
                             const LeadershipState& leadership, const Settings& settings);
 
-  // Resigns when peers receive the heartbeats instead. Does nothing on a follower.
+  // Resigns the leadership if heartbeats are missing here and arrive at peers, or no peer responds. Does
+  // nothing on a follower.
   net::Task<void> check();
 
  private:
-  // What the peers that responded say.
-  struct PeerSurvey {
+  // Combined status of the peers that responded.
+  struct PeerHeartbeats {
     bool any_response = false;
     std::uint64_t recent_heartbeats = 0;
   };
-  net::Task<PeerSurvey> survey_peers();
-  bool should_transfer(const HeartbeatSilence& silence, const PeerSurvey& survey) const;
+  net::Task<PeerHeartbeats> query_peers();
+  bool should_transfer_leadership(const HeartbeatGap& gap, const PeerHeartbeats& peer_heartbeats) const;
 
   net::Transport& transport_;
   store::Election& election_;
--- a/src/app/worker_routes.cpp
+++ b/src/app/worker_routes.cpp
@@ -40,7 +40,7 @@
   heartbeat_counter_.record(loop_.now());
   const auto term = leadership_.term();  // kept alive for the response, also when it ends meanwhile
   if (!term) co_return redirect();
-  HttpResponse response = co_await term->heartbeat(*std::move(heartbeat));
+  HttpResponse response = co_await term->handle_heartbeat(*std::move(heartbeat));
   co_return response;
 }
 
--- a/src/app/worker_routes.hpp
+++ b/src/app/worker_routes.hpp
@@ -22,7 +22,7 @@
   // request must live until the task has ended.
   net::Task<net::HttpResponse> heartbeat(const net::HttpMessage& request);
   // Heartbeats that arrived here lately, whatever became of them.
-  std::uint64_t recent_heartbeats() const { return heartbeat_counter_.recent(loop_.now()); }
+  std::uint64_t recent_heartbeats() const { return heartbeat_counter_.recent_count(loop_.now()); }
 
  private:
   net::HttpResponse redirect() const;
