--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -57,7 +57,7 @@
   if (leadership_.leading()) {
     leadership_.term()->push(core::JobRecordDeleted{id});
   } else {
-    peer_notifier_.job_cancelled(id);
+    peer_notifier_.notify_job_cancelled(id);
   }
 }
 
--- a/src/app/worker_routes.cpp
+++ b/src/app/worker_routes.cpp
@@ -40,7 +40,7 @@
   heartbeat_counter_.record(loop_.now());
   const auto term = leadership_.term();  // keeps the term alive until the response is ready
   if (!term) co_return redirect_to_leader();
-  HttpResponse response = co_await term->heartbeat(*std::move(heartbeat));
+  HttpResponse response = co_await term->handle_heartbeat(*std::move(heartbeat));
   co_return response;
 }
 
--- a/src/app/worker_routes.hpp
+++ b/src/app/worker_routes.hpp
@@ -22,7 +22,7 @@
   net::Task<net::HttpResponse> handle_heartbeat(const net::HttpMessage& request);
   // Returns the number of well-formed heartbeats in the last constants::kHeartbeatCountWindowSeconds seconds,
   // including redirected ones.
-  std::uint64_t recent_heartbeats() const { return heartbeat_counter_.recent(loop_.now()); }
+  std::uint64_t recent_heartbeats() const { return heartbeat_counter_.recent_count(loop_.now()); }
 
  private:
   // Responds with 421 and the host name of the leader, or an empty map if the leader is unknown.
