--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -38,7 +38,7 @@
       co_return json_response(http_status::kOk, wire::job_response(id, job.status.state));
     auto transaction = core::cancellation_transaction(*job.active_record, job.active_version, job.status.done,
                                                       loop_.time_of_day_ms(), config_.max_value_bytes);
-    store::Result<store::Committed> committed =
+    store::Result<store::CommitResult> committed =
         co_await state_.commit(std::move(transaction), store::RequestPriority::high, deadline);
     if (committed) {
       cancelled(id, job.status.done);
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -42,7 +42,7 @@
 
 store::Election::Listener Controller::election_listener() {
   store::Election::Listener listener;
-  listener.on_leader = [this](std::optional<std::string> host) {
+  listener.on_leader_observed = [this](std::optional<std::string> host) {
     leadership_.set_leader_host(std::move(host));
   };
   listener.on_elected = [this](store::Leadership leadership, net::TimePoint asked_at) {
@@ -51,13 +51,13 @@
   listener.on_renewed = [this](net::TimePoint asked_at) {
     if (leadership_.leading()) leadership_.term()->lease_renewed(asked_at);
   };
-  listener.on_lost = [this](store::LeadershipEnd reason) { end_term(reason); };
+  listener.on_leadership_lost = [this](store::LeadershipEndReason reason) { end_term(reason); };
   return listener;
 }
 
 void Controller::begin_term(store::Leadership leadership, net::TimePoint asked_at) {
   LeaderTerm::Listener listener;
-  listener.on_superseded = [this] { election_.step_down(store::LeadershipEnd::superseded); };
+  listener.on_superseded = [this] { election_.step_down(store::LeadershipEndReason::superseded); };
   listener.on_job_completed = [this](const JobId& id, const wire::JobStatus& status) {
     terminal_jobs_.insert(id, status);
   };
@@ -70,7 +70,7 @@
   term->start(machine_types_.types());
 }
 
-void Controller::end_term(store::LeadershipEnd reason) {
+void Controller::end_term(store::LeadershipEndReason reason) {
   if (const auto& term = leadership_.term())
     spdlog::info("event=leadership_lost token={} led_s={:.1f} reason={}", term->token().value, term->age_s(),
                  store::to_string(reason));
--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -53,7 +53,7 @@
  private:
   store::Election::Listener election_listener();
   void begin_term(store::Leadership leadership, net::TimePoint asked_at);
-  void end_term(store::LeadershipEnd reason);
+  void end_term(store::LeadershipEndReason reason);
   void start_servers();
   net::Task<void> log_user_requests();
   // Connections for users and workers.
--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -72,7 +72,7 @@
   const double recorded_s = context_.now() - requested_at;
   bool deleted = false;
   while (context_.alive() && !deleted) {
-    const cloud::Outcome outcome = co_await context_.cloud().scale_in(effect.machines);
+    const cloud::Outcome outcome = co_await context_.cloud().delete_machines(effect.machines);
     spdlog::info("event=scale_in record={} machines={} first={} recorded_s={:.2f} took_s={:.2f} outcome={}",
                  effect.key, effect.machines.size(),
                  effect.machines.empty() ? "" : effect.machines.front().value, recorded_s,
--- a/src/app/guarded_writer.cpp
+++ b/src/app/guarded_writer.cpp
@@ -9,7 +9,7 @@
 net::Task<bool> GuardedWriter::commit(wire::Transaction transaction, store::RequestPriority priority) {
   transaction.preconditions.push_back(context_.leader_precondition());
   while (context_.alive()) {
-    store::Result<store::Committed> committed =
+    store::Result<store::CommitResult> committed =
         co_await context_.state().commit(transaction, priority, context_.background_deadline());
     if (committed) co_return context_.alive();
     if (committed.outcome == store::Outcome::conflict) {
--- a/src/app/job_status_reader.cpp
+++ b/src/app/job_status_reader.cpp
@@ -65,7 +65,7 @@
     // handled, whatever becomes of the jobs and of the leadership meanwhile.
     Comparison comparison = next_comparison(batch);
     if (comparison.positions.empty()) break;
-    store::Result<store::Committed> committed = co_await state_.commit(
+    store::Result<store::CommitResult> committed = co_await state_.commit(
         std::move(comparison.transaction), store::RequestPriority::normal, batch.deadline);
     if (!committed && committed.outcome != Outcome::conflict) continue;  // can't be told: 503
     const auto& failed = committed.value.failed_preconditions;
--- a/src/app/leader_forwarder.cpp
+++ b/src/app/leader_forwarder.cpp
@@ -42,7 +42,7 @@
   const double timeout_s =
       saturated ? constants::kSaturatedForwardTimeoutSeconds : constants::kForwardTimeoutSeconds;
   std::optional<HttpResponse> response =
-      co_await peer::forward(transport_, *address, std::move(request), timeout_s);
+      co_await peer::forward_request(transport_, *address, std::move(request), timeout_s);
   record_outcome(response.has_value());
   // What the leader can't take, perhaps because the state service refuses it alone, this controller may be
   // able to. And what it calls malformed has passed this controller's own check: the leader may be of an
@@ -57,7 +57,7 @@
   const auto address = leader_address();
   if (!address) co_return std::nullopt;
   std::optional<std::vector<peer::PolledJobStatus>> statuses =
-      co_await peer::poll(transport_, *address, std::move(ids));
+      co_await peer::poll_job_statuses(transport_, *address, std::move(ids));
   co_return statuses;
 }
 
--- a/src/app/leader_term.cpp
+++ b/src/app/leader_term.cpp
@@ -91,7 +91,7 @@
 
 net::Task<void> LeaderTerm::refresh_machine_list() {
   while (context_.alive()) {
-    cloud::Result<std::vector<wire::ListedMachine>> listed = co_await context_.cloud().machines();
+    cloud::Result<std::vector<wire::ListedMachine>> listed = co_await context_.cloud().list_machines();
     if (!context_.alive()) co_return;
     if (listed) push(core::MachinesListed{std::move(listed.value)});
     co_await context_.loop().sleep(net::seconds(constants::kMachineListIntervalSeconds));
--- a/src/app/machine_type_refresher.cpp
+++ b/src/app/machine_type_refresher.cpp
@@ -23,7 +23,7 @@
   wire::Transaction transaction;
   transaction.puts.push_back({core::key::kMachineTypes, wire::to_json(catalog_.types()), {}});
   const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
-  store::Result<store::Committed> committed =
+  store::Result<store::CommitResult> committed =
       co_await state_.commit(std::move(transaction), store::RequestPriority::background, deadline);
   // A value that is too large stays too large.
   stored_ = committed.outcome == store::Outcome::ok || committed.outcome == store::Outcome::rejected;
@@ -42,7 +42,7 @@
 
 net::Task<void> MachineTypeRefresher::run() {
   for (;;) {
-    cloud::Result<std::vector<wire::MachineType>> offered = co_await cloud_.machine_types();
+    cloud::Result<std::vector<wire::MachineType>> offered = co_await cloud_.list_machine_types();
     if (offered && !offered.value.empty()) {
       adopt(std::move(offered.value));
       if (leadership_.leading() && !stored_) co_await store_types();
--- a/src/app/peer_monitor.cpp
+++ b/src/app/peer_monitor.cpp
@@ -59,7 +59,7 @@
 void PeerMonitor::consider_leader_claim(const PeerController& controller, const peer::PeerStatus& status) {
   if (leadership_.leading() && status.token > leadership_.term()->token().value) {
     spdlog::info("event=newer_leader host={} token={}", controller.host, status.token);
-    election_.step_down(store::LeadershipEnd::newer_leader);
+    election_.step_down(store::LeadershipEndReason::newer_leader);
   }
   // After step_down this controller is a follower and may adopt the claim.
   if (!leadership_.leading()) leadership_.set_leader_host(controller.host);
--- a/src/app/peer_notifier.cpp
+++ b/src/app/peer_notifier.cpp
@@ -10,11 +10,12 @@
 
 void PeerNotifier::job_cancelled(const JobId& id) const {
   for (const auto& controller : peers_)
-    net::spawn(peer::notify_cancelled(transport_, controller.address, id));
+    net::spawn(peer::notify_job_cancelled(transport_, controller.address, id));
 }
 
 void PeerNotifier::write_limit_lowered() const {
-  for (const auto& controller : peers_) net::spawn(peer::notify_write_limit(transport_, controller.address));
+  for (const auto& controller : peers_)
+    net::spawn(peer::notify_write_limit_lowered(transport_, controller.address));
 }
 
 }  // namespace dockdyke::app
--- a/src/app/peer_routes.cpp
+++ b/src/app/peer_routes.cpp
@@ -53,7 +53,7 @@
 }
 
 net::Task<HttpResponse> PeerRoutes::poll(const HttpMessage& request) {
-  auto names = peer::decode_jobs(request.body);
+  auto names = peer::decode_job_ids(request.body);
   if (!names) co_return empty_response(http_status::kBadRequest);
   if (!leadership_.leading()) co_return service_unavailable();
   std::vector<JobId> ids;
@@ -64,7 +64,7 @@
 }
 
 HttpResponse PeerRoutes::job_cancelled(const HttpMessage& request) {
-  auto names = peer::decode_jobs(request.body);
+  auto names = peer::decode_job_ids(request.body);
   if (!names) return empty_response(http_status::kBadRequest);
   if (leadership_.leading())
     for (auto& name : *names) leadership_.term()->push(core::JobRecordDeleted{JobId(std::move(name))});
@@ -77,7 +77,7 @@
 }
 
 net::Task<HttpResponse> PeerRoutes::forward(const HttpMessage& request) {
-  auto forwarded = peer::decode_forwarded(request.body);
+  auto forwarded = peer::decode_forwarded_request(request.body);
   if (!forwarded) co_return empty_response(http_status::kBadRequest);
   if (!leadership_.leading())
     co_return HttpResponse{http_status::kOk, peer::encode(peer::ForwardedResponse{}), std::nullopt};
--- a/src/app/rate_share_manager.cpp
+++ b/src/app/rate_share_manager.cpp
@@ -9,18 +9,18 @@
 RateShareManager::RateShareManager(store::StateClient& state, const LeadershipState& leadership,
                                    const PeerNotifier& peers, std::size_t peer_count)
     : state_(state), leadership_(leadership), peers_(peers), peer_count_(peer_count) {
-  state_.on_write_limit_seen([this] { write_limit_seen(); });
+  state_.on_lower_write_limit_detected([this] { write_limit_seen(); });
 }
 
 void RateShareManager::apply_shares() {
   if (peer_count_ == 0) {
-    state_.set_shares(1, 1);
+    state_.set_rate_fractions(1, 1);
   } else if (leadership_.leading()) {
-    state_.set_shares(constants::kLeaderRateFraction, constants::kLeaderRateFraction);
+    state_.set_rate_fractions(constants::kLeaderRateFraction, constants::kLeaderRateFraction);
   } else {
     const auto followers = static_cast<double>(peer_count_);
-    state_.set_shares(constants::kFollowerRequestRateFraction / followers,
-                      constants::kFollowerWriteRateFraction / followers);
+    state_.set_rate_fractions(constants::kFollowerRequestRateFraction / followers,
+                              constants::kFollowerWriteRateFraction / followers);
   }
 }
 
--- a/src/app/state_writer.cpp
+++ b/src/app/state_writer.cpp
@@ -38,7 +38,7 @@
   write.transaction.preconditions.push_back(context_.leader_precondition());
   const RequestPriority priority = write.urgent ? RequestPriority::high : RequestPriority::normal;
   while (context_.alive()) {
-    store::Result<store::Committed> committed =
+    store::Result<store::CommitResult> committed =
         co_await context_.state().commit(write.transaction, priority, context_.background_deadline());
     if (!context_.alive() || finish(write, committed)) break;
     const bool rejected = committed.outcome == Outcome::rejected;
@@ -55,7 +55,7 @@
   context_.events().wake();
 }
 
-bool StateWriter::finish(const core::StateWrite& write, store::Result<store::Committed>& committed) {
+bool StateWriter::finish(const core::StateWrite& write, store::Result<store::CommitResult>& committed) {
   if (committed) {
     for (const auto& id : write.completed_jobs) report_completion(id);
     context_.events().push(core::WriteApplied{write.number});
--- a/src/app/state_writer.hpp
+++ b/src/app/state_writer.hpp
@@ -34,7 +34,7 @@
   // Repeats the write until its outcome is known, and tells the state machine.
   net::Task<void> run(core::StateWrite write);
   // True when the outcome is final: applied, or in conflict.
-  bool finish(const core::StateWrite& write, store::Result<store::Committed>& committed);
+  bool finish(const core::StateWrite& write, store::Result<store::CommitResult>& committed);
   void report_completion(const JobId& id) const;
 
   TermContext& context_;
--- a/src/app/submission_handler.cpp
+++ b/src/app/submission_handler.cpp
@@ -80,7 +80,7 @@
   transaction.preconditions.push_back({core::key::active_job(id), Revision(0)});
   transaction.preconditions.push_back({core::key::terminal_job(id), Revision(0)});
   transaction.puts.push_back({core::key::active_job(id), core::to_json(record), {}});
-  store::Result<store::Committed> committed =
+  store::Result<store::CommitResult> committed =
       co_await state_.commit(std::move(transaction), store::RequestPriority::high, deadline);
   if (committed) {
     notify_term(record, committed.value.revision);
--- a/src/app/term_context.cpp
+++ b/src/app/term_context.cpp
@@ -55,7 +55,7 @@
   return {store::kLeaderKey, Revision(token_.value)};
 }
 
-bool TermContext::leader_changed(const store::Committed& committed) {
+bool TermContext::leader_changed(const store::CommitResult& committed) {
   const auto& failed = committed.failed_preconditions;
   return std::find(failed.begin(), failed.end(), store::kLeaderKey) != failed.end();
 }
--- a/src/app/term_context.hpp
+++ b/src/app/term_context.hpp
@@ -54,7 +54,7 @@
   // Holds while no other controller has become the leader.
   wire::Precondition leader_precondition() const;
   // Whether a transaction failed since another controller is the leader.
-  static bool leader_changed(const store::Committed& committed);
+  static bool leader_changed(const store::CommitResult& committed);
   // The present time as the state machine counts it (s).
   core::Time now() const;
   // Waits before a failed background call is repeated.
--- a/src/app/worker_reachability_monitor.cpp
+++ b/src/app/worker_reachability_monitor.cpp
@@ -49,7 +49,7 @@
   if (!should_transfer(silence, survey)) co_return;
   spdlog::info("event=workers_unreachable token={} silence_s={:.1f} machines={} peer_heartbeats={}",
                term->token().value, silence.duration_s, silence.machines, survey.recent_heartbeats);
-  election_.resign(store::LeadershipEnd::workers_unreachable);
+  election_.resign(store::LeadershipEndReason::workers_unreachable);
 }
 
 }  // namespace dockdyke::app
--- a/src/cloud/cloud_client.hpp
+++ b/src/cloud/cloud_client.hpp
@@ -1,5 +1,4 @@
-// The client of the cloud (PROTOCOL, "Controller nodes -> cloud"): typed calls within the leader's share of
-// the cloud's rate limit.
+// The client of the cloud API: typed calls that keep to the leader's fraction of the cloud's rate limit.
 #pragma once
 
 #include <vector>
@@ -19,31 +18,34 @@
 template <class T>
 using Result = net::Result<T>;
 
-// Of the outcomes, the cloud's are ok, no_capacity, rejected and unknown. Unknown stands for everything after
-// which the call is to be repeated: an outage, the rate limit, no response, an unreadable one, or no token of
-// the rate limiter within kBackgroundCallTimeoutSeconds. Nothing is repeated here. The client must outlive
-// its calls.
+// Calls end with Outcome::ok, no_capacity, rejected or unknown. Outcome::unknown covers every failure after
+// which the caller should retry: an outage, the cloud's rate limit, a missing or malformed response, or no
+// token of the rate limiter within kBackgroundCallTimeoutSeconds. The client itself does not retry. It must
+// outlive its calls.
 class CloudClient {
  public:
-  // `requests_per_second` is the cloud's limit for all controllers; the client uses kCloudRateFraction of it.
+  // `requests_per_second` is the cloud's limit for all controllers together; the client uses
+  // kCloudRateFraction of it.
   CloudClient(net::Loop& loop, net::Transport& transport, net::Address service, double requests_per_second);
 
-  // Reads the machine types with their current prices.
-  net::Task<Result<std::vector<wire::MachineType>>> machine_types();
+  // Returns the machine types with their current prices.
+  net::Task<Result<std::vector<wire::MachineType>>> list_machine_types();
 
-  // Reads the whole machine list, page after page; the value is empty unless all pages were read.
-  net::Task<Result<std::vector<wire::ListedMachine>>> machines();
+  // Reads all pages of the machine list. The value is empty if any page could not be read.
+  net::Task<Result<std::vector<wire::ListedMachine>>> list_machines();
 
-  // Rents up to `request.count` machines and returns their names. Outcome::no_capacity when none is
-  // available. A repeated request id that was answered rents nothing more.
+  // Requests up to `request.count` machines and returns their ids, or Outcome::no_capacity if none is
+  // available. Idempotent: repeating a request id does not start more machines.
   net::Task<Result<std::vector<MachineId>>> scale_out(wire::ScaleOutRequest request);
 
-  // Deletes machines. Outcome::ok: they and everything on them are gone. Unknown names are ignored.
-  net::Task<Outcome> scale_in(std::vector<MachineId> machines);
+  // Deletes machines. Outcome::ok means that the machines and all tasks on them have ended. Unknown ids are
+  // ignored.
+  net::Task<Outcome> delete_machines(std::vector<MachineId> machines);
 
  private:
-  // Acquires a token of the rate limiter and sends the request. Without a token the reply has no status.
-  net::Task<store::ServiceReply> call(store::ServiceRequest request, store::RequestPriority priority);
+  // Acquires a token of the rate limiter and sends the request. Returns a response without status if no
+  // token was available before the deadline.
+  net::Task<store::ServiceResponse> call(store::ServiceRequest request, store::RequestPriority priority);
 
   net::Loop& loop_;
   net::Transport& transport_;
--- a/src/peer/peer.hpp
+++ b/src/peer/peer.hpp
@@ -1,4 +1,4 @@
-// The protocol between controllers as a whole (PROTOCOL, "Controller nodes <-> controller nodes").
+// Umbrella header of the protocol between controllers.
 #pragma once
 
 #include "peer/peer_client.hpp"    // IWYU pragma: export
--- a/src/peer/peer_client.hpp
+++ b/src/peer/peer_client.hpp
@@ -1,4 +1,4 @@
-// Calls of other controllers. The transport outlives every call.
+// Calls to other controllers. The transport must outlive every call.
 #pragma once
 
 #include <optional>
@@ -12,20 +12,22 @@
 
 namespace dockdyke::peer {
 
-// Forwards a user's request to the leader; nothing when it does not respond within the timeout or does not
-// lead.
-net::Task<std::optional<net::HttpResponse>> forward(net::Transport& transport, net::Address leader,
-                                                    ForwardedRequest request, double timeout_s);
-// The leader's statuses of these jobs, in their order; nothing when it does not respond within
-// constants::kLeaderPollTimeoutSeconds or does not lead.
-net::Task<std::optional<std::vector<PolledJobStatus>>> poll(net::Transport& transport, net::Address leader,
-                                                            std::vector<JobId> jobs);
-// Tells a peer of a cancellation that is stored. Correctness does not depend on its arrival.
-net::Task<void> notify_cancelled(net::Transport& transport, net::Address controller, JobId job);
-// Tells a peer that the state service has put its announced lower limit of writes in force. Correctness does
-// not depend on its arrival.
-net::Task<void> notify_write_limit(net::Transport& transport, net::Address controller);
-// Nothing when the peer does not respond within constants::kPeerCallTimeoutSeconds.
+// Forwards a user's request to the leader. Returns std::nullopt if the receiver does not respond within the
+// timeout or is not the leader.
+net::Task<std::optional<net::HttpResponse>> forward_request(net::Transport& transport, net::Address leader,
+                                                            ForwardedRequest request, double timeout_s);
+// Returns the statuses of the jobs in the order of `jobs`, or std::nullopt if the receiver does not respond
+// within constants::kLeaderPollTimeoutSeconds or is not the leader.
+net::Task<std::optional<std::vector<PolledJobStatus>>> poll_job_statuses(net::Transport& transport,
+                                                                         net::Address leader,
+                                                                         std::vector<JobId> jobs);
+// Notifies a peer of a cancellation that is durable. Correctness does not depend on its delivery.
+net::Task<void> notify_job_cancelled(net::Transport& transport, net::Address controller, JobId job);
+// Notifies a peer that the state service enforces its announced lower write limit. Correctness does not
+// depend on its delivery.
+net::Task<void> notify_write_limit_lowered(net::Transport& transport, net::Address controller);
+// Returns the status of a peer, or std::nullopt if it does not respond within
+// constants::kPeerCallTimeoutSeconds.
 net::Task<std::optional<PeerStatus>> fetch_status(net::Transport& transport, net::Address controller);
 
 }  // namespace dockdyke::peer
--- a/src/peer/peer_messages.cpp
+++ b/src/peer/peer_messages.cpp
@@ -9,7 +9,7 @@
 
 namespace dockdyke::peer {
 
-// cereal finds these by their name and argument types. The order of the fields is the order of the bytes.
+// cereal finds these functions by argument-dependent lookup. The field order determines the byte order.
 
 template <class Archive>
 void serialize(Archive& archive, ForwardedRequest& message) {
@@ -52,38 +52,38 @@
     archive(message);
     return message;
   } catch (const std::exception&) {
-    // Too short, or a length that no memory could hold.
+    // The bytes are truncated, or a length field is too large to allocate.
     return std::nullopt;
   }
 }
 
 }  // namespace
 
-std::optional<ForwardedRequest> decode_forwarded(const std::string& bytes) {
+std::optional<ForwardedRequest> decode_forwarded_request(const std::string& bytes) {
   return decode_binary<ForwardedRequest>(bytes);
 }
 std::string encode(const ForwardedRequest& message) {
   return encode_binary(message);
 }
-std::optional<ForwardedResponse> decode_answer(const std::string& bytes) {
+std::optional<ForwardedResponse> decode_forwarded_response(const std::string& bytes) {
   return decode_binary<ForwardedResponse>(bytes);
 }
 std::string encode(const ForwardedResponse& message) {
   return encode_binary(message);
 }
-std::optional<std::vector<std::string>> decode_jobs(const std::string& bytes) {
+std::optional<std::vector<std::string>> decode_job_ids(const std::string& bytes) {
   return decode_binary<std::vector<std::string>>(bytes);
 }
-std::string encode(const std::vector<std::string>& jobs) {
-  return encode_binary(jobs);
+std::string encode(const std::vector<std::string>& job_ids) {
+  return encode_binary(job_ids);
 }
-std::optional<std::vector<PolledJobStatus>> decode_polled(const std::string& bytes) {
+std::optional<std::vector<PolledJobStatus>> decode_job_statuses(const std::string& bytes) {
   return decode_binary<std::vector<PolledJobStatus>>(bytes);
 }
-std::string encode(const std::vector<PolledJobStatus>& polled) {
-  return encode_binary(polled);
+std::string encode(const std::vector<PolledJobStatus>& statuses) {
+  return encode_binary(statuses);
 }
-std::optional<PeerStatus> decode_status(const std::string& bytes) {
+std::optional<PeerStatus> decode_peer_status(const std::string& bytes) {
   return decode_binary<PeerStatus>(bytes);
 }
 std::string encode(const PeerStatus& message) {
@@ -95,9 +95,9 @@
 }
 
 net::HttpResponse to_http_response(ForwardedResponse response) {
-  net::HttpResponse out{response.status, std::move(response.body), std::nullopt};
-  if (response.retry_after_s > 0) out.retry_after_s = response.retry_after_s;
-  return out;
+  net::HttpResponse http_response{response.status, std::move(response.body), std::nullopt};
+  if (response.retry_after_s > 0) http_response.retry_after_s = response.retry_after_s;
+  return http_response;
 }
 
 }  // namespace dockdyke::peer
--- a/src/store/election.cpp
+++ b/src/store/election.cpp
@@ -44,24 +44,24 @@
   }
 }
 
-void Election::step_down(LeadershipEnd reason) {
+void Election::step_down(LeadershipEndReason reason) {
   if (!leadership_) return;
   leadership_.reset();
   leadership_ended_.notify();
-  listener_.on_lost(reason);
+  listener_.on_leadership_lost(reason);
 }
 
-void Election::resign(LeadershipEnd reason) {
+void Election::resign(LeadershipEndReason reason) {
   if (!leadership_) return;
-  abstain_until_ = loop_.now() + net::seconds(constants::kCampaignPauseAfterTransferSeconds);
-  spawn(state_.revoke(leadership_->lease));
+  campaign_allowed_at_ = loop_.now() + net::seconds(constants::kCampaignPauseAfterTransferSeconds);
+  spawn(state_.revoke_lease(leadership_->lease));
   step_down(reason);
 }
 
 net::Task<void> Election::follow_leader() {
   Result<wire::KeyValue> current = co_await state_.get(kLeaderKey, call_deadline());
   if (current.outcome == Outcome::missing) {
-    listener_.on_leader(std::nullopt);
+    listener_.on_leader_observed(std::nullopt);
     co_await campaign(Revision(0));
     co_return;
   }
@@ -71,41 +71,41 @@
   }
   const auto leader = current.value.value.value(kHostField, std::string());
   if (leader == host_) {
-    // The key is from before a restart of this process, or from a transaction whose response got lost. Nobody
-    // else acts under its token, so there is no lease to wait for.
+    // This controller wrote the key before a restart, or the response to its transaction was lost. No other
+    // controller uses the key's token, so there is no need to wait until the lease expires.
     co_await campaign(current.value.version);
     co_return;
   }
-  listener_.on_leader(leader);
+  listener_.on_leader_observed(leader);
   co_await watch_leader_key(current.value.version);
 }
 
-net::Task<void> Election::watch_leader_key(Revision seen) {
+net::Task<void> Election::watch_leader_key(Revision after) {
   for (;;) {
     Result<wire::KeyEvents> changes =
-        co_await state_.watch(kLeaderKey, seen, constants::kFollowerWatchTimeoutSeconds);
+        co_await state_.watch(kLeaderKey, after, constants::kFollowerWatchTimeoutSeconds);
     if (!changes) co_await retry_delay();
-    // Changed or unclear: the caller reads the key again.
+    // The key has changed or the watch failed; the caller reads the key again.
     if (!changes || !changes.value.events.empty()) co_return;
-    seen = changes.value.revision;
+    after = changes.value.revision;
   }
 }
 
 net::Task<void> Election::campaign(Revision version) {
-  if (loop_.now() < abstain_until_) {
-    // After a resignation another controller is to be elected, also while our own key is not gone yet.
+  if (loop_.now() < campaign_allowed_at_) {
+    // After a resignation another controller should be elected, even if this controller's key still exists.
     co_await retry_delay();
     co_return;
   }
   const auto requested_at = loop_.now();
-  Result<LeaseId> lease = co_await state_.grant(constants::kLeaderLeaseTtlMs);
+  Result<LeaseId> lease = co_await state_.grant_lease(constants::kLeaderLeaseTtlMs);
   if (!lease) {
     co_await retry_delay();
     co_return;
   }
-  // Neither leadership_ nor abstain_until_ has changed meanwhile: only a leader steps down or resigns, and
-  // this coroutine alone makes this controller one.
-  Result<FencingToken> token = co_await claim_leader_key(version, lease.value);
+  // leadership_ and campaign_allowed_at_ have not changed during the call: only a leader steps down or
+  // resigns, and only this coroutine makes this controller leader.
+  Result<FencingToken> token = co_await acquire_leader_key(version, lease.value);
   if (token) {
     become_leader({token.value, lease.value}, requested_at);
   } else if (token.outcome != Outcome::conflict) {
@@ -113,16 +113,16 @@
   }
 }
 
-net::Task<Result<FencingToken>> Election::claim_leader_key(Revision version, LeaseId lease) {
-  wire::Transaction claim;
-  claim.preconditions.push_back({kLeaderKey, version});
-  claim.puts.push_back({kLeaderKey, leader_value(host_, lease), lease});
-  Result<Committed> committed =
-      co_await state_.commit(std::move(claim), RequestPriority::high, call_deadline());
+net::Task<Result<FencingToken>> Election::acquire_leader_key(Revision version, LeaseId lease) {
+  wire::Transaction transaction;
+  transaction.preconditions.push_back({kLeaderKey, version});
+  transaction.puts.push_back({kLeaderKey, leader_value(host_, lease), lease});
+  Result<CommitResult> committed =
+      co_await state_.commit(std::move(transaction), RequestPriority::high, call_deadline());
   Result<FencingToken> token{committed.outcome, {}, std::move(committed.error)};
   if (committed) token.value = FencingToken(committed.value.revision.value);
   if (committed.outcome != Outcome::unknown) co_return token;
-  // The transaction may have been applied. If the key names this very lease, it was.
+  // The transaction may have been applied. If it was, the key contains this lease.
   Result<wire::KeyValue> current = co_await state_.get(kLeaderKey, call_deadline());
   if (current && current.value.value == leader_value(host_, lease))
     token = {Outcome::ok, FencingToken(current.value.version.value), std::nullopt};
@@ -137,19 +137,19 @@
 
 net::Task<void> Election::renew_leadership() {
   const auto requested_at = loop_.now();
-  const Outcome outcome = co_await state_.renew(leadership_->lease);
-  // step_down() may have been called meanwhile. It can't be another leadership than before the call, since a
-  // campaign runs in this coroutine alone.
+  const Outcome outcome = co_await state_.renew_lease(leadership_->lease);
+  // step_down() may have been called during the renewal. No new leadership can have begun, because only this
+  // coroutine campaigns.
   if (!leadership_) co_return;
   if (outcome == Outcome::ok) {
     listener_.on_renewed(requested_at);
   } else if (outcome == Outcome::missing) {
     spdlog::info("event=leader_lease_expired token={}", leadership_->token.value);
-    step_down(LeadershipEnd::lease_expired);
+    step_down(LeadershipEndReason::lease_expired);
     co_return;
   }
-  // An outage is no reason to step down: every lease has its full time again after it (PROTOCOL, "Outages and
-  // cuts").
+  // Other failures do not end the leadership: after an outage of the state service every lease has its full
+  // time to live again.
   co_await leadership_ended_.wait_for(net::seconds(constants::kLeaseRenewalIntervalSeconds));
 }
 
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Shortest time (s) until the queue is looked at again, so that a tiny shortage does not spin the loop.
-constexpr double kMinServingDelay = 0.001;
+// Minimum delay until the queue is served again, so that a tiny shortage does not cause a busy loop.
+constexpr double kMinServeDelaySeconds = 0.001;
 
 }  // namespace
 
@@ -26,13 +26,13 @@
 
 void RateLimiter::refill() {
   const double elapsed_s = std::chrono::duration<double>(loop_.now() - refilled_at_).count();
-  // The services allow bursts of one second's worth.
+  // The services allow bursts of one second's tokens.
   tokens_ = std::min(tokens_per_second_, tokens_ + elapsed_s * tokens_per_second_);
   refilled_at_ = loop_.now();
 }
 
-bool RateLimiter::affordable(double cost) const {
-  // The bucket never holds more than a second's worth, so a full bucket is enough for any higher cost.
+bool RateLimiter::has_tokens(double cost) const {
+  // The bucket holds at most one second's tokens, so a full bucket suffices for a higher cost.
   return tokens_ >= std::min(cost, tokens_per_second_);
 }
 
@@ -49,15 +49,15 @@
 
 net::Task<bool> RateLimiter::acquire(double cost, RequestPriority priority, net::TimePoint deadline) {
   refill();
-  if (queue_.empty() && affordable(cost)) {
+  if (queue_.empty() && has_tokens(cost)) {
     tokens_ -= cost;
     co_return true;
   }
-  const QueuePosition position{priority, next_arrival_++};
+  const QueuePosition position{priority, next_sequence_number_++};
   net::OneShot<bool> acquired(loop_);
   queue_.emplace(position, QueuedCall{cost, acquired});
-  // Removes the call when it ends by its deadline or its coroutine's destruction; usually serve_queue() has
-  // done so before. The position is of this call alone.
+  // Removes the call if its deadline passes or its coroutine is destroyed. If serve_queue() has already
+  // removed it, erase() has no effect, because positions are unique.
   struct QueueGuard {
     RateLimiter& limiter;
     QueuePosition position;
@@ -65,25 +65,25 @@
   };
   const QueueGuard guard{*this, position};
   serve_queue();
-  const auto answer = co_await acquired.wait_until(deadline);
-  co_return answer.has_value();
+  const auto result = co_await acquired.wait_until(deadline);
+  co_return result.has_value();
 }
 
 void RateLimiter::serve_queue() {
   refill();
-  while (!queue_.empty() && affordable(queue_.begin()->second.cost)) {
+  while (!queue_.empty() && has_tokens(queue_.begin()->second.cost)) {
     auto first = queue_.begin();
     tokens_ -= first->second.cost;
     first->second.acquired.set(true);
     queue_.erase(first);
   }
-  if (!queue_.empty() && !timer_set_) schedule_next_serving();
+  if (!queue_.empty() && !timer_set_) set_serve_timer();
 }
 
-void RateLimiter::schedule_next_serving() {
+void RateLimiter::set_serve_timer() {
   timer_set_ = true;
-  const double needed = std::min(queue_.begin()->second.cost, tokens_per_second_);
-  const double delay_s = std::max(kMinServingDelay, (needed - tokens_) / tokens_per_second_);
+  const double needed_tokens = std::min(queue_.begin()->second.cost, tokens_per_second_);
+  const double delay_s = std::max(kMinServeDelaySeconds, (needed_tokens - tokens_) / tokens_per_second_);
   loop_.at(loop_.now() + net::seconds(delay_s), [this] {
     timer_set_ = false;
     serve_queue();
--- a/src/store/rate_limiter.hpp
+++ b/src/store/rate_limiter.hpp
@@ -1,5 +1,4 @@
-// A token bucket that keeps calls within a share of another service's rate limit (PROTOCOL, "Limits and
-// errors" of the state service and the 429 of the cloud). Callers without a token queue by priority.
+// A token bucket that keeps calls within a fraction of another service's rate limit.
 #pragma once
 
 #include <compare>
@@ -12,34 +11,35 @@
 
 namespace dockdyke::store {
 
-// The order in which queued calls get tokens, most important first.
+// The order in which queued calls get tokens, highest priority first.
 enum class RequestPriority { high, normal, background };
 
-// Not copyable; must outlive its queued callers and every timer it has set, so in effect the loop's run.
+// Callers for which there are not enough tokens queue by priority. The limiter must outlive the queued
+// callers and the timers that it sets in the loop.
 class RateLimiter {
  public:
-  // Starts with a full bucket, which holds one second's worth of tokens.
+  // Starts with a full bucket, which holds the tokens of one second.
   RateLimiter(net::Loop& loop, double tokens_per_second);
 
   void set_rate(double tokens_per_second);
 
-  // Acquires `cost` tokens, queueing if there are too few or others queue already. False when the deadline
-  // passed first; then nothing was taken. Calls of one priority are served in their order.
+  // Acquires `cost` tokens; queues if there are too few or other calls are queued. Returns false, without
+  // taking tokens, if the deadline passes first. Calls of the same priority are served in order of arrival.
   net::Task<bool> acquire(double cost, RequestPriority priority, net::TimePoint deadline);
 
-  // Acquires at once and may overdraw the bucket: for lease renewals, which must never queue.
+  // Takes `cost` tokens without queueing and may overdraw the bucket. Used for lease calls, which must not
+  // wait.
   void acquire_immediately(double cost);
 
-  // Number of callers in the queue.
   std::size_t queue_length() const { return queue_.size(); }
 
-  // Seconds until every call that queues now will have been served.
+  // Returns the seconds that it takes to refill the tokens for all queued calls.
   double backlog_s() const;
 
  private:
   struct QueuePosition {
     RequestPriority priority;
-    std::uint64_t arrival;
+    std::uint64_t sequence_number;
     auto operator<=>(const QueuePosition&) const = default;
   };
   struct QueuedCall {
@@ -48,15 +48,16 @@
   };
 
   void refill();
-  bool affordable(double cost) const;
+  bool has_tokens(double cost) const;
+  // Gives tokens to queued calls in order, and sets a timer if calls remain queued.
   void serve_queue();
-  void schedule_next_serving();
+  void set_serve_timer();
 
   net::Loop& loop_;
   double tokens_per_second_;
   double tokens_;  // negative when overdrawn
   net::TimePoint refilled_at_;
-  std::uint64_t next_arrival_ = 0;
+  std::uint64_t next_sequence_number_ = 0;
   std::map<QueuePosition, QueuedCall> queue_;
   bool timer_set_ = false;
 };
--- a/src/store/reachability.hpp
+++ b/src/store/reachability.hpp
@@ -1,4 +1,4 @@
-// Whether a service has been answering lately.
+// Detects that a service is unreachable.
 #pragma once
 
 #include <optional>
@@ -7,22 +7,24 @@
 
 namespace dockdyke::store {
 
-// Records the fate of calls to one service and tells when they have been failing for too long.
+// Records the results of calls to one service. The service counts as unreachable when calls have failed for
+// too long.
 class Reachability {
  public:
-  // `unreachable_after_s`: seconds of failures alone after which the service counts as unreachable.
+  // The service counts as unreachable after more than `unreachable_after_s` seconds without a successful
+  // call, counted from the first failure.
   Reachability(const net::Loop& loop, double unreachable_after_s)
       : loop_(loop), unreachable_after_(net::seconds(unreachable_after_s)) {}
 
-  // The service showed that it works.
-  void record_answer() { failing_since_.reset(); }
+  // Records a response that shows that the service works.
+  void record_success() { failing_since_.reset(); }
 
-  // A call got no answer, or one that only an outage gives.
+  // Records a call without a response, or with a response that only an outage causes.
   void record_failure() {
     if (!failing_since_) failing_since_ = loop_.now();
   }
 
-  // True when calls have been failing for that long and none has been answered since.
+  // Returns whether calls have failed for more than `unreachable_after_s` seconds without a success.
   bool unreachable() const { return failing_since_ && loop_.now() - *failing_since_ > unreachable_after_; }
 
  private:
--- a/src/store/service_call.hpp
+++ b/src/store/service_call.hpp
@@ -1,5 +1,5 @@
-// One request to a service that speaks MessagePack over HTTP, shared by the clients of the state service and
-// of the cloud: sending it, decoding the body, and turning the body into a typed value.
+// Sends requests to a service that uses MessagePack over HTTP, decodes the response bodies and converts them
+// to typed values. Used by the clients of the state service and the cloud.
 #pragma once
 
 #include <optional>
@@ -18,39 +18,40 @@
 struct ServiceRequest {
   std::string method;
   std::string target;
-  std::string body;  // encoded; empty for none
+  std::string body;  // encoded; empty if the request has no body
 };
 
-// The answer to a request, before its status has been given a meaning.
-struct ServiceReply {
-  // What was asked, and the status if there was a response.
+// The response to a request, before its status is mapped to an Outcome.
+struct ServiceResponse {
+  // Method and target of the request, and the HTTP status if there was a response.
   net::CallError call;
-  // True when no byte of the request can have reached the service.
+  // True if no byte of the request can have reached the service.
   bool never_sent = false;
-  // Null for an empty body; nothing when there is no response or its body is not MessagePack.
+  // Null for an empty body; std::nullopt if there is no response or its body is not MessagePack.
   std::optional<wire::Json> body;
 };
 
 // Sends the request and decodes the response. The transport must outlive the call.
-net::Task<ServiceReply> call_service(net::Transport& transport, net::Address service, ServiceRequest request,
-                                     net::Duration timeout);
+net::Task<ServiceResponse> call_service(net::Transport& transport, net::Address service,
+                                        ServiceRequest request, net::Duration timeout);
 
-// The failure of a request that was given up before it was sent.
+// Returns the result of a request that was not sent, because no token of the rate limiter was available.
 template <class T>
-net::Result<T> not_sent(net::Outcome outcome, ServiceRequest request) {
+net::Result<T> not_sent_result(net::Outcome outcome, ServiceRequest request) {
   return net::failure<T>(outcome,
                          net::CallError{std::move(request.method), std::move(request.target), std::nullopt});
 }
 
-// Parses the body of a reply whose outcome is ok. A body that `parse` finds malformed leaves it unknown what
-// became of the request, as does no answer.
+// Parses the body if the outcome is ok, and returns a failure otherwise. If `parse` throws Malformed, the
+// outcome is unknown, because the response does not show whether the request was executed.
 template <class T, class Parse>
-net::Result<T> parse_reply(net::Outcome outcome, ServiceReply reply, Parse parse) {
-  if (outcome != net::Outcome::ok || !reply.body) return net::failure<T>(outcome, std::move(reply.call));
+net::Result<T> parse_response(net::Outcome outcome, ServiceResponse response, Parse parse) {
+  if (outcome != net::Outcome::ok || !response.body)
+    return net::failure<T>(outcome, std::move(response.call));
   try {
-    return net::Result<T>{net::Outcome::ok, parse(*reply.body), std::nullopt};
+    return net::Result<T>{net::Outcome::ok, parse(*response.body), std::nullopt};
   } catch (const wire::Malformed&) {
-    return net::failure<T>(net::Outcome::unknown, std::move(reply.call));
+    return net::failure<T>(net::Outcome::unknown, std::move(response.call));
   }
 }
 
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -13,7 +13,7 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-// PROTOCOL, "Controller nodes -> state service", with the statuses of "Limits and errors".
+// Maps an HTTP status of the state service to an Outcome.
 Outcome outcome_of_status(int status) {
   switch (status) {
     case http_status::kOk:
@@ -34,32 +34,32 @@
   }
 }
 
-Outcome outcome_of(const ServiceReply& reply) {
-  if (!reply.call.status) return reply.never_sent ? Outcome::refused : Outcome::unknown;
-  if (!reply.body) return Outcome::unknown;
-  return outcome_of_status(*reply.call.status);
+Outcome outcome_of(const ServiceResponse& response) {
+  if (!response.call.status) return response.never_sent ? Outcome::refused : Outcome::unknown;
+  if (!response.body) return Outcome::unknown;
+  return outcome_of_status(*response.call.status);
 }
 
-bool over_rate_limit(const ServiceReply& reply) {
-  return reply.call.status == http_status::kTooManyRequests;
+bool is_rate_limited(const ServiceResponse& response) {
+  return response.call.status == http_status::kTooManyRequests;
 }
 
 template <class T, class Parse>
-Result<T> parse_reply_of_state_service(ServiceReply reply, Parse parse) {
-  const Outcome outcome = outcome_of(reply);
-  return parse_reply<T>(outcome, std::move(reply), parse);
+Result<T> parse_state_response(ServiceResponse response, Parse parse) {
+  const Outcome outcome = outcome_of(response);
+  return parse_response<T>(outcome, std::move(response), parse);
 }
 
-Committed parse_committed(const wire::Json& body) {
-  return Committed{wire::parse_revision(body), {}};
+CommitResult parse_commit_result(const wire::Json& body) {
+  return CommitResult{wire::parse_revision(body), {}};
 }
 
-// A body that does not name the failed preconditions is no reason to fail: the caller reads its keys again in
-// any case.
-Result<Committed> conflict(ServiceReply reply) {
-  Result<Committed> result = net::failure<Committed>(Outcome::conflict, std::move(reply.call));
+// Leaves the failed preconditions empty if the body does not list them. Callers read their keys again
+// anyway.
+Result<CommitResult> conflict_result(ServiceResponse response) {
+  Result<CommitResult> result = net::failure<CommitResult>(Outcome::conflict, std::move(response.call));
   try {
-    result.value.failed_preconditions = wire::parse_failed_preconditions(*reply.body);
+    result.value.failed_preconditions = wire::parse_failed_preconditions(*response.body);
   } catch (const wire::Malformed&) {
     result.value.failed_preconditions.clear();
   }
@@ -68,36 +68,36 @@
 
 }  // namespace
 
-StateClient::StateClient(net::Loop& loop, net::Transport& transport, net::Address service, Limits limits)
+StateClient::StateClient(net::Loop& loop, net::Transport& transport, net::Address service, RateLimits limits)
     : loop_(loop),
       transport_(transport),
       service_(service),
-      limits_(loop, limits),
+      rate_limiters_(loop, limits),
       reachability_(loop, constants::kStateUnreachableAfterSeconds) {}
 
-void StateClient::record_answer(const ServiceReply& reply) {
-  // A refusal for the rate does not help the caller, but only a service that works gives it.
-  const Outcome outcome = reply.call.status ? outcome_of_status(*reply.call.status) : Outcome::unknown;
-  if (over_rate_limit(reply) || (outcome != Outcome::refused && outcome != Outcome::unknown)) {
-    reachability_.record_answer();
+void StateClient::record_reachability(const ServiceResponse& response) {
+  // A 429 fails the call, but shows that the service works.
+  const Outcome outcome = response.call.status ? outcome_of_status(*response.call.status) : Outcome::unknown;
+  if (is_rate_limited(response) || (outcome != Outcome::refused && outcome != Outcome::unknown)) {
+    reachability_.record_success();
   } else {
     reachability_.record_failure();
   }
 }
 
-net::Task<ServiceReply> StateClient::call(ServiceRequest request, net::Duration timeout) {
-  ServiceReply reply = co_await call_service(transport_, service_, std::move(request), timeout);
-  record_answer(reply);
-  co_return reply;
+net::Task<ServiceResponse> StateClient::call(ServiceRequest request, net::Duration timeout) {
+  ServiceResponse response = co_await call_service(transport_, service_, std::move(request), timeout);
+  record_reachability(response);
+  co_return response;
 }
 
 net::Task<Result<wire::KeyValue>> StateClient::get(std::string key, net::TimePoint deadline) {
   ServiceRequest request{"GET", wire::path::key(key), {}};
-  const bool acquired = co_await limits_.requests().acquire(1, RequestPriority::normal, deadline);
-  if (!acquired) co_return not_sent<wire::KeyValue>(Outcome::refused, std::move(request));
+  const bool acquired = co_await rate_limiters_.requests().acquire(1, RequestPriority::normal, deadline);
+  if (!acquired) co_return not_sent_result<wire::KeyValue>(Outcome::refused, std::move(request));
   const auto timeout = std::min(net::seconds(constants::kStateCallTimeoutSeconds), deadline - loop_.now());
-  ServiceReply reply = co_await call(std::move(request), timeout);
-  co_return parse_reply_of_state_service<wire::KeyValue>(std::move(reply), wire::parse_key_value);
+  ServiceResponse response = co_await call(std::move(request), timeout);
+  co_return parse_state_response<wire::KeyValue>(std::move(response), wire::parse_key_value);
 }
 
 net::Task<Result<wire::KeyPage>> StateClient::list(std::string prefix) {
@@ -118,58 +118,61 @@
 net::Task<Result<wire::KeyPage>> StateClient::list_page(std::string prefix, std::string after) {
   ServiceRequest request{"GET", wire::path::key_page(prefix, after, constants::kListPageSize), {}};
   const auto deadline = loop_.now() + net::seconds(constants::kBackgroundCallTimeoutSeconds);
-  const bool acquired = co_await limits_.requests().acquire(1, RequestPriority::high, deadline);
-  if (!acquired) co_return not_sent<wire::KeyPage>(Outcome::refused, std::move(request));
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
-  co_return parse_reply_of_state_service<wire::KeyPage>(std::move(reply), wire::parse_key_page);
+  const bool acquired = co_await rate_limiters_.requests().acquire(1, RequestPriority::high, deadline);
+  if (!acquired) co_return not_sent_result<wire::KeyPage>(Outcome::refused, std::move(request));
+  ServiceResponse response =
+      co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
+  co_return parse_state_response<wire::KeyPage>(std::move(response), wire::parse_key_page);
 }
 
-net::Task<Result<Committed>> StateClient::commit(wire::Transaction transaction, RequestPriority priority,
-                                                 net::TimePoint deadline) {
+net::Task<Result<CommitResult>> StateClient::commit(wire::Transaction transaction, RequestPriority priority,
+                                                    net::TimePoint deadline) {
   ServiceRequest request{"POST", std::string(wire::path::kTransaction), {}};
   const auto changes = static_cast<double>(transaction.puts.size() + transaction.deletions.size());
-  // A transaction that only compares writes nothing, so it needs no write token: when it queued with the
-  // writes, polls went unanswered for as long as there was more to write than the service takes.
+  // A transaction that only compares needs no write token. Otherwise status requests would time out behind a
+  // backlog of writes.
   bool acquired = true;
-  if (changes > 0) acquired = co_await limits_.writes().acquire(changes, priority, deadline);
-  if (acquired) acquired = co_await limits_.requests().acquire(1, priority, deadline);
-  if (!acquired) co_return not_sent<Committed>(Outcome::refused, std::move(request));
+  if (changes > 0) acquired = co_await rate_limiters_.writes().acquire(changes, priority, deadline);
+  if (acquired) acquired = co_await rate_limiters_.requests().acquire(1, priority, deadline);
+  if (!acquired) co_return not_sent_result<CommitResult>(Outcome::refused, std::move(request));
   request.body = wire::encode(wire::to_json(transaction));
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
-  if (over_rate_limit(reply) && changes > 0) limits_.record_write_refusal();
-  if (outcome_of(reply) == Outcome::conflict) co_return conflict(std::move(reply));
-  co_return parse_reply_of_state_service<Committed>(std::move(reply), parse_committed);
+  ServiceResponse response =
+      co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
+  if (is_rate_limited(response) && changes > 0) rate_limiters_.record_write_refusal();
+  if (outcome_of(response) == Outcome::conflict) co_return conflict_result(std::move(response));
+  co_return parse_state_response<CommitResult>(std::move(response), parse_commit_result);
 }
 
 net::Task<Result<wire::KeyEvents>> StateClient::watch(std::string prefix, Revision after, double timeout_s) {
   const auto timeout_ms = static_cast<std::uint64_t>(timeout_s * kMillisecondsPerSecond);
   ServiceRequest request{"GET", wire::path::watch(prefix, after, timeout_ms), {}};
   const auto deadline = loop_.now() + net::seconds(constants::kRateLimitWaitTimeoutSeconds);
-  const bool acquired = co_await limits_.requests().acquire(1, RequestPriority::high, deadline);
-  if (!acquired) co_return not_sent<wire::KeyEvents>(Outcome::refused, std::move(request));
-  // The service holds the response back for `timeout_s`; the usual time for a call comes on top.
-  ServiceReply reply =
+  const bool acquired = co_await rate_limiters_.requests().acquire(1, RequestPriority::high, deadline);
+  if (!acquired) co_return not_sent_result<wire::KeyEvents>(Outcome::refused, std::move(request));
+  // The service may delay the response by `timeout_s`, in addition to the usual duration of a call.
+  ServiceResponse response =
       co_await call(std::move(request), net::seconds(timeout_s + constants::kStateCallTimeoutSeconds));
-  co_return parse_reply_of_state_service<wire::KeyEvents>(std::move(reply), wire::parse_key_events);
+  co_return parse_state_response<wire::KeyEvents>(std::move(response), wire::parse_key_events);
 }
 
-net::Task<Result<LeaseId>> StateClient::grant(std::uint64_t ttl_ms) {
-  limits_.requests().acquire_immediately(1);
+net::Task<Result<LeaseId>> StateClient::grant_lease(std::uint64_t ttl_ms) {
+  rate_limiters_.requests().acquire_immediately(1);
   ServiceRequest request{"POST", std::string(wire::path::kLeases), wire::encode(wire::lease_request(ttl_ms))};
-  ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
-  co_return parse_reply_of_state_service<LeaseId>(std::move(reply), wire::parse_lease);
+  ServiceResponse response =
+      co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
+  co_return parse_state_response<LeaseId>(std::move(response), wire::parse_lease);
 }
 
-net::Task<Outcome> StateClient::renew(LeaseId lease) {
-  limits_.requests().acquire_immediately(1);
+net::Task<Outcome> StateClient::renew_lease(LeaseId lease) {
+  rate_limiters_.requests().acquire_immediately(1);
   ServiceRequest request{"POST", wire::path::lease_renewal(lease), {}};
-  ServiceReply reply =
+  ServiceResponse response =
       co_await call(std::move(request), net::seconds(constants::kLeaseRenewalTimeoutSeconds));
-  co_return outcome_of(reply);
+  co_return outcome_of(response);
 }
 
-net::Task<void> StateClient::revoke(LeaseId lease) {
-  limits_.requests().acquire_immediately(1);
+net::Task<void> StateClient::revoke_lease(LeaseId lease) {
+  rate_limiters_.requests().acquire_immediately(1);
   ServiceRequest request{"DELETE", wire::path::lease(lease), {}};
   co_await call(std::move(request), net::seconds(constants::kLeaseRenewalTimeoutSeconds));
 }
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -1,5 +1,5 @@
-// The client of the state service (PROTOCOL, "Controller nodes -> state service"): typed calls within this
-// controller's share of the service's rate limits.
+// The client of the state service: typed calls that keep to this controller's fraction of the service's rate
+// limits.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include "store/rate_limiter.hpp"
 #include "store/reachability.hpp"
 #include "store/service_call.hpp"
-#include "store/state_rate_limits.hpp"
+#include "store/state_rate_limiters.hpp"
 #include "wire/messages.hpp"
 
 namespace dockdyke::store {
@@ -26,79 +26,83 @@
 template <class T>
 using Result = net::Result<T>;
 
-// What a transaction came to: the revision of its changes (Outcome::ok), or the keys whose preconditions did
-// not hold (Outcome::conflict; empty when the service did not name them).
-struct Committed {
-  Revision revision;
+// The result of a transaction.
+struct CommitResult {
+  Revision revision;  // of the changes, if the outcome is Outcome::ok
+  // Keys whose preconditions failed, if the outcome is Outcome::conflict. Empty if the service did not list
+  // them.
   std::vector<std::string> failed_preconditions;
 };
 
-// All calls return Outcome::refused when no token of the rate limiter came in time, and Outcome::unknown when
-// no usable answer came, in which case the request may yet be executed. Nothing is repeated here. The client
-// must outlive its calls.
+// Calls return Outcome::refused if no token of the rate limiter was available in time, and Outcome::unknown
+// if there was no valid response. After Outcome::unknown the request may have been executed or may still be
+// executed. The client does not retry. It must outlive its calls.
 class StateClient {
  public:
-  StateClient(net::Loop& loop, net::Transport& transport, net::Address service, Limits limits);
-
-  // Sets the shares (0 to 1) of the limits that this controller may use in its present role.
-  void set_shares(double requests, double writes) { limits_.set_shares(requests, writes); }
-
-  // Keeps to the announced lower write limit from now on. The client does so by itself when the service shows
-  // that it is in force; others call it for what another controller has seen. It is never raised again.
-  void lower_write_limit() { limits_.lower_write_limit(); }
-  bool write_limit_lowered() const { return limits_.write_limit_lowered(); }
-  // Writes per second that all controllers together may make.
-  double write_limit() const { return limits_.write_limit(); }
-  // `listener` is called once, when the service has shown the lower limit to this client.
-  void on_write_limit_seen(std::function<void()> listener) {
-    limits_.on_write_limit_seen(std::move(listener));
+  StateClient(net::Loop& loop, net::Transport& transport, net::Address service, RateLimits limits);
+
+  // Sets the fractions (0 to 1) of the limits that this controller may use in its current role.
+  void set_rate_fractions(double request_fraction, double write_fraction) {
+    rate_limiters_.set_rate_fractions(request_fraction, write_fraction);
+  }
+
+  // Applies the announced lower write limit permanently. The client also does so by itself when refused
+  // writes show that the limit is in force; call this when another controller has detected it.
+  void lower_write_limit() { rate_limiters_.lower_write_limit(); }
+  bool write_limit_lowered() const { return rate_limiters_.write_limit_lowered(); }
+  // Returns the writes per second that are allowed to all controllers together.
+  double write_limit() const { return rate_limiters_.write_limit(); }
+  // Sets the listener that is called once, when refused writes of this client show that the lower limit is
+  // in force.
+  void on_lower_write_limit_detected(std::function<void()> listener) {
+    rate_limiters_.on_lower_write_limit_detected(std::move(listener));
   }
 
-  // Reads one key; Outcome::missing when it does not exist.
+  // Reads one key. Returns Outcome::missing if it does not exist.
   net::Task<Result<wire::KeyValue>> get(std::string key, net::TimePoint deadline);
 
-  // Reads every key with the prefix, page after page. The revision is that of the first page, so a watch from
-  // it misses nothing that a later page showed in part.
+  // Reads all pages of the keys with the prefix. Returns the revision of the first page, so that a watch
+  // from it also delivers the changes made while later pages were read.
   net::Task<Result<wire::KeyPage>> list(std::string prefix);
 
-  // Commits a compare-and-swap transaction. The deadline bounds the wait for the rate limiter; the call
-  // itself has kStateCallTimeoutSeconds. Outcome::conflict names the failed preconditions in the value.
-  net::Task<Result<Committed>> commit(wire::Transaction transaction, RequestPriority priority,
-                                      net::TimePoint deadline);
+  // Commits a compare-and-swap transaction. `deadline` limits the wait for the rate limiter; the call itself
+  // has a timeout of kStateCallTimeoutSeconds. With Outcome::conflict the value lists the failed
+  // preconditions.
+  net::Task<Result<CommitResult>> commit(wire::Transaction transaction, RequestPriority priority,
+                                         net::TimePoint deadline);
 
-  // Waits up to `timeout_s` seconds at the service for changes after the revision. Outcome::ok without events
-  // when there were none; Outcome::expired when the service no longer keeps the changes since that revision.
+  // Waits up to `timeout_s` seconds for changes after the revision. Returns Outcome::ok without events if
+  // there were none, and Outcome::expired if the service no longer keeps the changes since that revision.
   net::Task<Result<wire::KeyEvents>> watch(std::string prefix, Revision after, double timeout_s);
 
-  // Grants a lease with a time to live in milliseconds.
-  net::Task<Result<LeaseId>> grant(std::uint64_t ttl_ms);
+  // Requests a new lease with the time to live in milliseconds.
+  net::Task<Result<LeaseId>> grant_lease(std::uint64_t ttl_ms);
 
-  // Renews a lease; Outcome::missing when it has expired.
-  net::Task<Outcome> renew(LeaseId lease);
+  // Renews a lease. Returns Outcome::missing if it has expired.
+  net::Task<Outcome> renew_lease(LeaseId lease);
 
-  // Ends a lease at once. Not repeated on failure, since the lease also expires by itself.
-  net::Task<void> revoke(LeaseId lease);
+  // Ends a lease at once. A failure is ignored, because the lease then expires by itself.
+  net::Task<void> revoke_lease(LeaseId lease);
 
-  // True when calls have been failing for kStateUnreachableAfterSeconds seconds and none has been answered
-  // since.
+  // Returns whether calls have failed for more than kStateUnreachableAfterSeconds seconds without a success.
   bool unreachable() const { return reachability_.unreachable(); }
 
-  // True while so many calls queue in the rate limiter that callers should take on no more work.
-  bool saturated() const { return limits_.queue_length() >= constants::kRateLimiterQueueLimit; }
+  // Returns whether so many calls are queued in the rate limiters that callers should accept no more work.
+  bool saturated() const { return rate_limiters_.queue_length() >= constants::kRateLimiterQueueLimit; }
 
-  // Seconds until every write that queues now will have been sent.
-  double write_backlog_s() const { return limits_.writes().backlog_s(); }
+  // Returns the seconds until all currently queued writes can have been sent.
+  double write_backlog_s() const { return rate_limiters_.writes().backlog_s(); }
 
  private:
-  // Sends a request for which tokens have been acquired, and records whether the service answered.
-  net::Task<ServiceReply> call(ServiceRequest request, net::Duration timeout);
+  // Sends a request for which tokens have been acquired, and records whether the service is reachable.
+  net::Task<ServiceResponse> call(ServiceRequest request, net::Duration timeout);
   net::Task<Result<wire::KeyPage>> list_page(std::string prefix, std::string after);
-  void record_answer(const ServiceReply& reply);
+  void record_reachability(const ServiceResponse& response);
 
   net::Loop& loop_;
   net::Transport& transport_;
   net::Address service_;
-  StateRateLimits limits_;
+  StateRateLimiters rate_limiters_;
   Reachability reachability_;
 };
 
--- a/tests/core/stored_formats_test.cpp
+++ b/tests/core/stored_formats_test.cpp
@@ -127,20 +127,20 @@
 
 TEST(PeerFormats, AllMessagesAreUnchanged) {
   const std::string encoded_request = "01010a000000000000006a6f622d30303034313202000000000000007879";
-  const auto request = peer::decode_forwarded(from_hex(encoded_request));
+  const auto request = peer::decode_forwarded_request(from_hex(encoded_request));
   ASSERT_TRUE(request);
   EXPECT_EQ(request->kind, peer::RequestKind::cancel);
   EXPECT_EQ(request->job, "job-000412");
   EXPECT_EQ(to_hex(peer::encode(*request)), encoded_request);
 
   const std::string encoded_response = "0101f701000001000000010000000000000062";
-  const auto response = peer::decode_answer(from_hex(encoded_response));
+  const auto response = peer::decode_forwarded_response(from_hex(encoded_response));
   ASSERT_TRUE(response);
   EXPECT_EQ(response->status, 503);
   EXPECT_EQ(to_hex(peer::encode(*response)), encoded_response);
 
   const std::string encoded_jobs = "01020000000000000005000000000000006a6f622d3106000000000000006a6f622d3232";
-  const auto job_names = peer::decode_jobs(from_hex(encoded_jobs));
+  const auto job_names = peer::decode_job_ids(from_hex(encoded_jobs));
   ASSERT_TRUE(job_names);
   EXPECT_EQ(*job_names, (std::vector<std::string>{"job-1", "job-22"}));
   EXPECT_EQ(to_hex(peer::encode(*job_names)), encoded_jobs);
@@ -149,14 +149,14 @@
       "010200000000000000c80000000100000003000000000000000d00000000000000940100000000000000000000000000000000"
       "00000000"
       "0000";
-  const auto statuses = peer::decode_polled(from_hex(encoded_statuses));
+  const auto statuses = peer::decode_job_statuses(from_hex(encoded_statuses));
   ASSERT_TRUE(statuses);
   EXPECT_EQ(statuses->at(0).job.running, 13u);
   EXPECT_EQ(statuses->at(1).status, 404);
   EXPECT_EQ(to_hex(peer::encode(*statuses)), encoded_statuses);
 
   const std::string encoded_status = "01012900000000000000010900000000000000";
-  const auto status = peer::decode_status(from_hex(encoded_status));
+  const auto status = peer::decode_peer_status(from_hex(encoded_status));
   ASSERT_TRUE(status);
   EXPECT_EQ(status->token, 41u);
   EXPECT_EQ(to_hex(peer::encode(*status)), encoded_status);
--- a/tests/peer/peer_messages_test.cpp
+++ b/tests/peer/peer_messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages between controllers that are truncated or invalid.
+// Tests of decoding messages between controllers.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -7,14 +7,14 @@
 
 namespace dockdyke::testing {
 
-TEST(Peer, TruncatedOrInvalidBytesAreRefused) {
+TEST(PeerMessages, DecoderRejectsTruncatedOrInvalidBytes) {
   peer::ForwardedRequest message{peer::RequestKind::cancel, "job-1", "body"};
   const auto bytes = peer::encode(message);
-  ASSERT_TRUE(peer::decode_forwarded(bytes));
-  EXPECT_EQ(peer::decode_forwarded(bytes)->job, "job-1");
+  ASSERT_TRUE(peer::decode_forwarded_request(bytes));
+  EXPECT_EQ(peer::decode_forwarded_request(bytes)->job, "job-1");
   for (std::size_t size = 0; size < bytes.size(); ++size)
-    EXPECT_FALSE(peer::decode_forwarded(bytes.substr(0, size))) << size;
-  EXPECT_FALSE(peer::decode_forwarded(std::string(40, '\xff')));
+    EXPECT_FALSE(peer::decode_forwarded_request(bytes.substr(0, size))) << size;
+  EXPECT_FALSE(peer::decode_forwarded_request(std::string(40, '\xff')));
 }
 
 }  // namespace dockdyke::testing
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -200,7 +200,7 @@
   };
 
   WriteRateTest() {
-    client.on_write_limit_seen([this] { ++seen; });
+    client.on_lower_write_limit_detected([this] { ++seen; });
   }
 
   void write(int times) {
--- a/tests/store/rate_limiter_test.cpp
+++ b/tests/store/rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// The rate limiter of calls to the state service, and the histogram of submission times.
+// Tests of the rate limiter and of the latency histogram.
 #include "store/rate_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +8,7 @@
 
 namespace dockdyke::testing {
 
-TEST(RateLimiter, ServesByPriorityAndNobodyWaitsPastTheDeadline) {
+TEST(RateLimiter, ServesCallsByPriorityUntilTheirDeadline) {
   net::Loop loop;
   store::RateLimiter limiter(loop, 20);
   std::vector<std::string> finished;
@@ -19,21 +19,22 @@
   };
   net::spawn(acquire("first", 20, store::RequestPriority::normal, 5));
   net::spawn(acquire("background", 4, store::RequestPriority::background, 5));
-  net::spawn(acquire("impatient", 4, store::RequestPriority::background, 0.02));
-  net::spawn(acquire("important", 4, store::RequestPriority::high, 5));
-  const auto end = net::Clock::now() + std::chrono::seconds(3);
-  while (finished.size() < 4 && net::Clock::now() < end) loop.turn(std::chrono::milliseconds(5));
-  EXPECT_EQ(finished, (std::vector<std::string>{"first", "impatient timed out", "important", "background"}));
+  net::spawn(acquire("short deadline", 4, store::RequestPriority::background, 0.02));
+  net::spawn(acquire("high priority", 4, store::RequestPriority::high, 5));
+  const auto deadline = net::Clock::now() + std::chrono::seconds(3);
+  while (finished.size() < 4 && net::Clock::now() < deadline) loop.turn(std::chrono::milliseconds(5));
+  EXPECT_EQ(finished,
+            (std::vector<std::string>{"first", "short deadline timed out", "high priority", "background"}));
 }
 
-TEST(LatencyHistogram, QuantilesComeFromTheHistogram) {
-  app::LatencyHistogram times;
-  EXPECT_EQ(times.quantile(0.5), 0);
-  for (int i = 0; i < 90; ++i) times.add(0.010);
-  for (int i = 0; i < 10; ++i) times.add(1.0);
-  EXPECT_EQ(times.count(), 100u);
-  EXPECT_NEAR(times.quantile(0.5), 0.010, 0.004);
-  EXPECT_NEAR(times.quantile(0.99), 1.0, 0.3);
+TEST(LatencyHistogram, QuantilesApproximateAddedDurations) {
+  app::LatencyHistogram histogram;
+  EXPECT_EQ(histogram.quantile(0.5), 0);
+  for (int i = 0; i < 90; ++i) histogram.add(0.010);
+  for (int i = 0; i < 10; ++i) histogram.add(1.0);
+  EXPECT_EQ(histogram.count(), 100u);
+  EXPECT_NEAR(histogram.quantile(0.5), 0.010, 0.004);
+  EXPECT_NEAR(histogram.quantile(0.99), 1.0, 0.3);
 }
 
 }  // namespace dockdyke::testing
--- a/tests/store/service_clients_test.cpp
+++ b/tests/store/service_clients_test.cpp
@@ -1,5 +1,5 @@
-// The clients of the state service and of the cloud: which outcome each answer has, and what a failure tells
-// of the call.
+// Tests of the clients of the state service and the cloud: the outcome of each response and the contents of
+// errors.
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -19,14 +19,14 @@
 namespace http_status = net::http_status;
 using net::Outcome;
 
-// Answers every call with the result that is set.
+// Responds to every call with the configured result.
 class FixedTransport : public net::Transport {
  public:
   net::Task<net::CallResult> call(net::Address, std::string, std::string, std::string,
                                   net::Duration) override {
     co_return result;
   }
-  void answer(int status, std::string body) {
+  void set_response(int status, std::string body) {
     result.response.emplace();
     result.response->status = status;
     result.response->body = std::move(body);
@@ -42,7 +42,7 @@
     outcome = result.outcome;
     error = result.error;
   }
-  net::Task<void> rent() {
+  net::Task<void> scale_out() {
     wire::ScaleOutRequest request;
     cloud::Result<std::vector<MachineId>> result = co_await cloud.scale_out(std::move(request));
     outcome = result.outcome;
@@ -54,12 +54,12 @@
     return outcome.value_or(Outcome::unknown);
   }
   Outcome outcome_of_get(int status) {
-    transport.answer(status, {});
+    transport.set_response(status, {});
     return outcome_of_get();
   }
-  Outcome outcome_of_rent(int status, const wire::Json& body) {
-    transport.answer(status, wire::encode(body));
-    net::spawn(rent());
+  Outcome outcome_of_scale_out(int status, const wire::Json& body) {
+    transport.set_response(status, wire::encode(body));
+    net::spawn(scale_out());
     return outcome.value_or(Outcome::ok);
   }
 
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-TEST_F(ServiceClientsTest, StatusesOfTheStateServiceHaveTheirOutcomes) {
+TEST_F(ServiceClientsTest, StateServiceStatusesMapToOutcomes) {
   EXPECT_EQ(outcome_of_get(http_status::kNotFound), Outcome::missing);
   EXPECT_EQ(outcome_of_get(http_status::kConflict), Outcome::conflict);
   EXPECT_EQ(outcome_of_get(http_status::kGone), Outcome::expired);
@@ -83,7 +83,7 @@
   EXPECT_EQ(outcome_of_get(http_status::kNotImplemented), Outcome::unknown);
 }
 
-TEST_F(ServiceClientsTest, AFailureNamesTheCallAndItsStatus) {
+TEST_F(ServiceClientsTest, ErrorContainsMethodTargetAndStatus) {
   EXPECT_EQ(outcome_of_get(http_status::kNotFound), Outcome::missing);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->method, "GET");
@@ -91,7 +91,7 @@
   EXPECT_EQ(error->status, http_status::kNotFound);
 }
 
-TEST_F(ServiceClientsTest, WithoutAResponseACallThatWasNeverSentIsToldFromOthers) {
+TEST_F(ServiceClientsTest, MissingResponseIsUnknownUnlessRequestWasNeverSent) {
   EXPECT_EQ(outcome_of_get(), Outcome::unknown);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->status, std::nullopt);
@@ -99,26 +99,26 @@
   EXPECT_EQ(outcome_of_get(), Outcome::refused);
 }
 
-TEST_F(ServiceClientsTest, ASuccessHasNoErrorAndAnUnreadableOneIsUnknown) {
-  transport.answer(http_status::kOk, wire::encode({{"k", "a/b"}, {"value", {{"x", 1}}}, {"stamp", 4}}));
+TEST_F(ServiceClientsTest, SuccessHasNoErrorAndMalformedResponseIsUnknown) {
+  transport.set_response(http_status::kOk, wire::encode({{"k", "a/b"}, {"value", {{"x", 1}}}, {"stamp", 4}}));
   EXPECT_EQ(outcome_of_get(), Outcome::ok);
   EXPECT_FALSE(error);
-  transport.answer(http_status::kOk, wire::encode({{"k", "a/b"}}));
+  transport.set_response(http_status::kOk, wire::encode({{"k", "a/b"}}));
   EXPECT_EQ(outcome_of_get(), Outcome::unknown);
   EXPECT_TRUE(error);
-  transport.answer(http_status::kOk, "\xc1");
+  transport.set_response(http_status::kOk, "\xc1");
   EXPECT_EQ(outcome_of_get(), Outcome::unknown);
 }
 
-TEST_F(ServiceClientsTest, OnlyTheStatedErrorMeansThatTheCloudHasNoCapacity) {
-  EXPECT_EQ(outcome_of_rent(http_status::kServiceUnavailable, {{"error", "no capacity"}}),
+TEST_F(ServiceClientsTest, OnlyNoCapacityErrorInBodyMeansNoCapacity) {
+  EXPECT_EQ(outcome_of_scale_out(http_status::kServiceUnavailable, {{"error", "no capacity"}}),
             Outcome::no_capacity);
   ASSERT_TRUE(error);
   EXPECT_EQ(error->target, wire::path::kMachines);
-  EXPECT_EQ(outcome_of_rent(http_status::kServiceUnavailable, {{"error", "trouble"}}), Outcome::unknown);
-  EXPECT_EQ(outcome_of_rent(http_status::kBadRequest, {{"error", "no capacity"}}), Outcome::rejected);
-  EXPECT_EQ(outcome_of_rent(http_status::kTooManyRequests, wire::Json::object()), Outcome::unknown);
-  EXPECT_EQ(outcome_of_rent(http_status::kOk, {{"dykes", {"n-000001"}}}), Outcome::ok);
+  EXPECT_EQ(outcome_of_scale_out(http_status::kServiceUnavailable, {{"error", "outage"}}), Outcome::unknown);
+  EXPECT_EQ(outcome_of_scale_out(http_status::kBadRequest, {{"error", "no capacity"}}), Outcome::rejected);
+  EXPECT_EQ(outcome_of_scale_out(http_status::kTooManyRequests, wire::Json::object()), Outcome::unknown);
+  EXPECT_EQ(outcome_of_scale_out(http_status::kOk, {{"dykes", {"n-000001"}}}), Outcome::ok);
 }
 
 }  // namespace dockdyke::testing
