--- a/src/app/controller.hpp
+++ b/src/app/controller.hpp
@@ -53,7 +53,7 @@
  private:
   store::Election::Listener election_listener();
   void begin_term(store::Leadership leadership, net::TimePoint requested_at);
-  void end_term(store::LeadershipEnd reason);
+  void end_term(store::LeadershipEndReason reason);
   void start_servers();
   net::Task<void> log_user_requests();
   // Returns the limit of simultaneous connections on the public port.
--- a/src/app/job_status_reader.cpp
+++ b/src/app/job_status_reader.cpp
@@ -66,7 +66,7 @@
     // the state service handled the call, even if this controller is no longer the leader.
     Comparison comparison = next_comparison(batch);
     if (comparison.positions.empty()) break;
-    store::Result<store::Committed> committed = co_await state_client_.commit(
+    store::Result<store::CommitResult> committed = co_await state_client_.commit(
         std::move(comparison.transaction), store::RequestPriority::normal, batch.deadline);
     if (!committed && committed.outcome != Outcome::conflict) continue;  // keep status 503
     const auto& failed = committed.value.failed_preconditions;
--- a/src/app/leader_forwarder.cpp
+++ b/src/app/leader_forwarder.cpp
@@ -48,7 +48,7 @@
   const double timeout_s =
       has_write_backlog ? constants::kSaturatedForwardTimeoutSeconds : constants::kForwardTimeoutSeconds;
   std::optional<HttpResponse> response =
-      co_await peer::forward(transport_, *address, std::move(request), timeout_s);
+      co_await peer::forward_request(transport_, *address, std::move(request), timeout_s);
   record_outcome(response.has_value());
   // On 503 this controller may still succeed, for example if only the leader cannot reach the state service.
   // On 400 the request has passed this controller's own check, so the leader may run a previous version.
@@ -62,7 +62,7 @@
   const auto address = leader_address();
   if (!address) co_return std::nullopt;
   std::optional<std::vector<peer::PolledJobStatus>> statuses =
-      co_await peer::poll(transport_, *address, std::move(ids));
+      co_await peer::poll_job_statuses(transport_, *address, std::move(ids));
   co_return statuses;
 }
 
--- a/src/app/state_writer.hpp
+++ b/src/app/state_writer.hpp
@@ -34,7 +34,7 @@
   // Commits the write, with retries, and pushes its outcome to the event queue.
   net::Task<void> run_write(core::StateWrite write);
   // Handles the result of a commit. Returns true if it is final: applied or in conflict.
-  bool handle_outcome(const core::StateWrite& write, store::Result<store::Committed>& committed);
+  bool handle_outcome(const core::StateWrite& write, store::Result<store::CommitResult>& committed);
   // Logs the completion and notifies the listener.
   void notify_job_completed(const JobId& id) const;
 
--- a/src/app/term_context.hpp
+++ b/src/app/term_context.hpp
@@ -54,7 +54,7 @@
   // Returns the precondition that no other controller has become the leader.
   wire::Precondition leader_precondition() const;
   // Returns whether a transaction failed because another controller has become the leader.
-  static bool leader_changed(const store::Committed& committed);
+  static bool leader_changed(const store::CommitResult& committed);
   // Returns the current time as used by the state machine.
   core::Time now() const;
   // Waits before a failed background call is retried.
--- a/src/app/worker_reachability_monitor.cpp
+++ b/src/app/worker_reachability_monitor.cpp
@@ -52,7 +52,7 @@
   spdlog::info("event=workers_unreachable token={} silence_s={:.1f} machines={} peer_heartbeats={}",
                term->token().value, gap.time_since_heartbeat_s, gap.machine_count,
                peer_heartbeats.recent_heartbeats);
-  election_.resign(store::LeadershipEnd::workers_unreachable);
+  election_.resign(store::LeadershipEndReason::workers_unreachable);
 }
 
 }  // namespace dockdyke::app
