--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -36,12 +36,13 @@
     if (job.outcome != Outcome::ok) co_return service_unavailable();
     if (is_terminal(job.status.state) || !job.active_record)
       co_return json_response(http_status::kOk, wire::job_response(id, job.status.state));
-    auto transaction = core::cancellation_transaction(*job.active_record, job.active_version, job.status.done,
-                                                      loop_.time_of_day_ms(), config_.max_value_bytes);
+    auto transaction =
+        core::cancellation_transaction(*job.active_record, job.active_version, job.status.done_tasks,
+                                       loop_.time_of_day_ms(), config_.max_value_bytes);
     store::Result<store::Committed> committed =
         co_await state_.commit(std::move(transaction), store::RequestPriority::high, deadline);
     if (committed) {
-      cancelled(id, job.status.done);
+      cancelled(id, job.status.done_tasks);
       co_return json_response(http_status::kOk, wire::job_response(id, JobState::cancelled));
     }
     // A conflict with a write of the leader, or no response: read again and retry. After anything else the
--- a/src/app/effect_executor.cpp
+++ b/src/app/effect_executor.cpp
@@ -65,8 +65,8 @@
 net::Task<void> EffectExecutor::scale_in(core::RequestScaleIn effect) {
   const auto requested_at = context_.now();
   if (!effect.persisted) {
-    const bool written =
-        co_await writer_.insert(effect.key, wire::machine_names(effect.machines), RequestPriority::normal);
+    const bool written = co_await writer_.insert(effect.key, wire::machine_ids_to_json(effect.machines),
+                                                 RequestPriority::normal);
     if (!written) co_return;
   }
   const double recorded_s = context_.now() - requested_at;
@@ -93,7 +93,7 @@
   // tells it to stop as well.
   const auto deadline = loop.now() + net::seconds(context_.config().gang_peer_timeout_s);
   const std::string body =
-      wire::encode(wire::direct_commands(context_.token(), effect.incarnation, effect.commands));
+      wire::encode(wire::direct_command_request(context_.token(), effect.incarnation, effect.commands));
   while (context_.alive() && loop.now() < deadline) {
     net::CallResult result =
         co_await context_.transport().call(*address, "POST", std::string(wire::path::kDirectCommands), body,
--- a/src/app/job_reader.cpp
+++ b/src/app/job_reader.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-void log_malformed_record(const JobId& id, const wire::Malformed& error) {
+void log_malformed_record(const JobId& id, const wire::ParseError& error) {
   spdlog::error("event=malformed_record job={} error=\"{}\"", id.value, error.what());
 }
 
@@ -45,7 +45,7 @@
     lookup.active_version = active.value.version;
     if (const auto progress = leadership_.progress(id)) lookup.status = progress->status;
     lookup.outcome = Outcome::ok;
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ParseError& error) {
     log_malformed_record(id, error);
   }
   co_return lookup;
@@ -60,7 +60,7 @@
     const auto record = core::parse_terminal_record(terminal.value.value);
     lookup.status = {record.state, record.done, 0};
     terminal_jobs_.insert(id, lookup.status);
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ParseError& error) {
     log_malformed_record(id, error);
     lookup.outcome = Outcome::unknown;
   }
--- a/src/app/machine_type_refresher.cpp
+++ b/src/app/machine_type_refresher.cpp
@@ -35,7 +35,7 @@
   if (!stored) co_return;
   try {
     adopt(wire::parse_machine_types(stored.value.value));
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ParseError& error) {
     spdlog::error("event=malformed_record key={} error=\"{}\"", core::key::kMachineTypes, error.what());
   }
 }
--- a/src/app/record_loader.cpp
+++ b/src/app/record_loader.cpp
@@ -32,7 +32,7 @@
 }
 
 core::Event parse_scale_in(const wire::KeyValue& item) {
-  return core::ScaleInLoaded{item.key, wire::parse_machine_names(item.value)};
+  return core::ScaleInLoaded{item.key, wire::parse_machine_ids(item.value)};
 }
 
 }  // namespace
@@ -64,7 +64,7 @@
   for (const auto& item : page.items) {
     try {
       events.push_back(parse(item));
-    } catch (const wire::Malformed& error) {
+    } catch (const wire::ParseError& error) {
       spdlog::error("event=malformed_record key={} error=\"{}\"", item.key, error.what());
     }
   }
--- a/src/app/record_loader.hpp
+++ b/src/app/record_loader.hpp
@@ -32,7 +32,7 @@
   net::Task<std::optional<LoadedRecords>> load();
 
  private:
-  // Makes an event of a record; throws wire::Malformed.
+  // Makes an event of a record; throws wire::ParseError.
   using Parser = std::function<core::Event(const wire::KeyValue&)>;
 
   net::Task<std::optional<LoadedRecords>> try_load();
--- a/src/app/record_watcher.cpp
+++ b/src/app/record_watcher.cpp
@@ -79,7 +79,7 @@
 void RecordWatcher::push_submission(const std::string& key, const wire::Json& value, Revision version) {
   try {
     context_.events().push(core::JobSubmitted{core::parse_job_record(value), version});
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ParseError& error) {
     spdlog::error("event=malformed_record key={} error=\"{}\"", key, error.what());
   }
 }
--- a/src/app/submission_handler.cpp
+++ b/src/app/submission_handler.cpp
@@ -22,7 +22,7 @@
   if (!value) return std::nullopt;
   try {
     return wire::parse_job(*value);
-  } catch (const wire::Malformed&) {
+  } catch (const wire::ParseError&) {
     return std::nullopt;
   }
 }
--- a/src/app/worker_routes.cpp
+++ b/src/app/worker_routes.cpp
@@ -22,7 +22,7 @@
   if (!value) return std::nullopt;
   try {
     return wire::parse_heartbeat(*value);
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ParseError& error) {
     spdlog::debug("event=malformed_heartbeat error=\"{}\"", error.what());
     return std::nullopt;
   }
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -88,12 +88,12 @@
                               wire::encode(wire::to_json(request))};
   ServiceReply reply = co_await call(std::move(call_request), RequestPriority::high);
   if (states_no_capacity(reply)) co_return net::failure<Names>(Outcome::no_capacity, std::move(reply.call));
-  co_return parse_reply_of_cloud<Names>(std::move(reply), wire::parse_machine_names);
+  co_return parse_reply_of_cloud<Names>(std::move(reply), wire::parse_machine_ids);
 }
 
 net::Task<Outcome> CloudClient::scale_in(std::vector<MachineId> machines) {
-  ServiceRequest request{"POST", std::string(wire::path::kDelete),
-                         wire::encode(wire::machine_names(machines))};
+  ServiceRequest request{"POST", std::string(wire::path::kMachineDeletion),
+                         wire::encode(wire::machine_ids_to_json(machines))};
   ServiceReply reply = co_await call(std::move(request), RequestPriority::high);
   co_return outcome_of(reply);
 }
--- a/src/core/job.hpp
+++ b/src/core/job.hpp
@@ -25,7 +25,7 @@
   std::uint64_t dispatched_incarnation = 0;
   bool observed = false;                    // some heartbeat to this leader has listed the task
   std::uint64_t observed_in_heartbeat = 0;  // `Machine::heartbeat_count` at the last such one
-  wire::TaskState state = wire::TaskState::fetching;
+  wire::TaskState state = wire::TaskState::fetching_image;
   Time assigned_at = 0;
   Time run_started_at = 0;  // 0: not observed running
   bool stopping = false;
--- a/src/core/job_records.cpp
+++ b/src/core/job_records.cpp
@@ -5,7 +5,7 @@
 namespace dockdyke::core {
 
 using wire::Json;
-using wire::Malformed;
+using wire::ParseError;
 
 namespace {
 
@@ -39,23 +39,23 @@
 }
 
 JobRecord parse_job_record(const Json& value) {
-  const Json* spec = wire::find(value, kSpec);
-  if (!spec) throw Malformed("job record has no spec");
+  const Json* spec = wire::find_field(value, kSpec);
+  if (!spec) throw ParseError("job record has no spec");
   JobRecord record;
   record.spec = wire::parse_job(*spec);
   record.submitted_ms = static_cast<std::int64_t>(wire::require_count(value, kSubmitted));
-  if (wire::find(value, kCancelled))
+  if (wire::find_field(value, kCancelled))
     record.cancelled_ms = static_cast<std::int64_t>(wire::require_count(value, kCancelled));
   return record;
 }
 
 Json to_json(const TerminalRecord& record) {
-  return Json{{kState, wire::spelled(record.state)}, {kDone, record.done}};
+  return Json{{kState, wire::to_string(record.state)}, {kDone, record.done}};
 }
 
 TerminalRecord parse_terminal_record(const Json& value) {
-  auto state = wire::job_state_from(wire::require_text(value, kState));
-  if (!state) throw Malformed("invalid job state in terminal record");
+  auto state = wire::job_state_from_string(wire::require_text(value, kState));
+  if (!state) throw ParseError("invalid job state in terminal record");
   return {*state, wire::require_count(value, kDone)};
 }
 
--- a/src/core/job_records.hpp
+++ b/src/core/job_records.hpp
@@ -24,7 +24,7 @@
   std::uint64_t done = 0;  // number of completed tasks
 };
 
-// The parsers throw `wire::Malformed`.
+// The parsers throw `wire::ParseError`.
 wire::Json to_json(const JobRecord& record);
 JobRecord parse_job_record(const wire::Json& value);
 wire::Json to_json(const TerminalRecord& record);
--- a/src/core/leader_state_machine.cpp
+++ b/src/core/leader_state_machine.cpp
@@ -257,7 +257,7 @@
       std::count_if(found->assignments.begin(), found->assignments.end(), [](const auto& each) {
         const TaskAssignment& assignment = each.second;
         return assignment.observed &&
-               (assignment.state == TaskState::running || assignment.state == TaskState::saving);
+               (assignment.state == TaskState::running || assignment.state == TaskState::checkpointing);
       }));
   const bool started = running > 0 || found->done_count > 0;
   const auto state = started ? wire::JobState::running : wire::JobState::pending;
@@ -284,7 +284,7 @@
     for (const auto& [index, assignment] : job.assignments) {
       counts.never_dispatched += assignment.never_dispatched() ? 1 : 0;
       if (!assignment.observed) continue;
-      counts.fetching += assignment.state == wire::TaskState::fetching ? 1 : 0;
+      counts.fetching += assignment.state == wire::TaskState::fetching_image ? 1 : 0;
       counts.running += assignment.state == wire::TaskState::running ? 1 : 0;
     }
   return counts;
--- a/src/core/placement_cost.cpp
+++ b/src/core/placement_cost.cpp
@@ -11,7 +11,7 @@
 
 double PlacementCost::fetch_s(const Job& job, const Machine& machine) const {
   return job.spec.image_gb /
-         std::max(constants::kMinImageFetchGbPerSecond, state_.type_of(machine)->fetch_gb_per_s);
+         std::max(constants::kMinImageFetchGbPerSecond, state_.type_of(machine)->image_fetch_gb_per_s);
 }
 
 std::optional<double> PlacementCost::of(const Job& job, const Machine& machine, double largest_cpus) const {
--- a/src/core/reconciler.cpp
+++ b/src/core/reconciler.cpp
@@ -161,7 +161,7 @@
   if (job.gang.started_at == 0) job.gang.started_at = now;
   const auto* type = state_.type_of(machine);
   machine.record_image_use({job.spec.image, job.spec.image_gb},
-                           type ? std::optional(type->cache_gb) : std::nullopt);
+                           type ? std::optional(type->image_cache_gb) : std::nullopt);
 }
 
 std::vector<AssignedTask> Reconciler::release_unreported_tasks(Machine& machine,
@@ -216,17 +216,17 @@
       if (!job.is_gang() || !std::exchange(job.gang.failure_counted, true))
         health_.record_failure(job, machine, now);
       break;
-    case ExitCause::no_room:
+    case ExitCause::insufficient_capacity:
       machine.assignments_resume_at = now + constants::kNoCapacityBackoffSeconds;
       break;
-    case ExitCause::unknown_job:
+    case ExitCause::unknown_task:
       ++job.consecutive_failures;
       job.backoff_ends_at = now + std::min(constants::kMaxErrorBackoffSeconds,
                                            constants::kInitialErrorBackoffSeconds * job.consecutive_failures);
       break;
     case ExitCause::stopped:
-    case ExitCause::busy:
-    case ExitCause::peer_lost:
+    case ExitCause::attempt_conflict:
+    case ExitCause::gang_peer_lost:
     case ExitCause::gang_incomplete:
     case ExitCause::none:
       break;
--- a/src/core/task_records.cpp
+++ b/src/core/task_records.cpp
@@ -10,7 +10,7 @@
 namespace dockdyke::core {
 
 using wire::Json;
-using wire::Malformed;
+using wire::ParseError;
 
 // ---- Task ranges ------------------------------------------------------------------------------------------
 //
@@ -76,7 +76,7 @@
 Number consume_number(std::string_view& text) {
   Number value{};
   auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc{}) throw Malformed("invalid task range");
+  if (error != std::errc{}) throw ParseError("invalid task range");
   text.remove_prefix(static_cast<std::size_t>(end - text.data()));
   return value;
 }
@@ -89,21 +89,21 @@
 
 // Appends the tasks of the ranges to `out`. Fields that the ranges do not contain are copied from `defaults`.
 void parse_ranges(const Json& value, const TaskRecord& defaults, std::vector<TaskRecord>& out) {
-  if (!value.is_string()) throw Malformed("task ranges are not a string");
+  if (!value.is_string()) throw ParseError("task ranges are not a string");
   std::string_view text = value.get_ref<const std::string&>();
   while (!text.empty()) {
     TaskRecord task = defaults;
     const auto first = consume_number<TaskIndex>(text);
     const auto last = consume_char(text, '-') ? consume_number<TaskIndex>(text) : first;
     if (consume_char(text, '/')) task.attempt = consume_number<Attempt>(text);
-    if (last < first || last == std::numeric_limits<TaskIndex>::max()) throw Malformed("invalid task range");
+    if (last < first || last == std::numeric_limits<TaskIndex>::max()) throw ParseError("invalid task range");
     for (task.index = first; task.index <= last; ++task.index) out.push_back(task);
-    if (!text.empty() && !consume_char(text, ',')) throw Malformed("invalid task range");
+    if (!text.empty() && !consume_char(text, ',')) throw ParseError("invalid task range");
   }
 }
 
 void parse_assigned(const Json& assigned, Attempt default_attempt, std::vector<TaskRecord>& out) {
-  if (!assigned.is_object()) throw Malformed("assigned tasks are not an object");
+  if (!assigned.is_object()) throw ParseError("assigned tasks are not an object");
   for (const auto& [machine, ranges] : assigned.items())
     parse_ranges(ranges, {0, default_attempt, MachineId(machine), false}, out);
 }
@@ -139,14 +139,14 @@
 }
 
 SegmentRecord parse_segment(const Json& value) {
-  if (!value.is_object()) throw Malformed("task log segment is not an object");
+  if (!value.is_object()) throw ParseError("task log segment is not an object");
   SegmentRecord out;
   for (const auto& [id, entry] : value.items()) {
     auto& tasks = out[JobId(id)];
-    if (const Json* done = wire::find(entry, kDone)) parse_ranges(*done, {0, 1, {}, true}, tasks);
-    if (const Json* unassigned = wire::find(entry, kUnassigned))
+    if (const Json* done = wire::find_field(entry, kDone)) parse_ranges(*done, {0, 1, {}, true}, tasks);
+    if (const Json* unassigned = wire::find_field(entry, kUnassigned))
       parse_ranges(*unassigned, {0, 1, {}, false}, tasks);
-    if (const Json* assigned = wire::find(entry, kAssigned)) parse_assigned(*assigned, 1, tasks);
+    if (const Json* assigned = wire::find_field(entry, kAssigned)) parse_assigned(*assigned, 1, tasks);
   }
   return out;
 }
@@ -160,19 +160,20 @@
 }
 
 GangPart parse_gang_part(std::string_view key, const Json& value) {
-  if (!key.starts_with(key::kGangPrefix)) throw Malformed("invalid key of a gang record");
+  if (!key.starts_with(key::kGangPrefix)) throw ParseError("invalid key of a gang record");
   key.remove_prefix(key::kGangPrefix.size());
   const auto slash = key.find('/');
-  if (slash == std::string_view::npos) throw Malformed("invalid key of a gang record");
+  if (slash == std::string_view::npos) throw ParseError("invalid key of a gang record");
   GangPart part;
   part.job = JobId(std::string(key.substr(0, slash)));
   key.remove_prefix(slash + 1);
   part.attempt = consume_number<Attempt>(key);
-  if (!consume_char(key, '/')) throw Malformed("invalid key of a gang record");
+  if (!consume_char(key, '/')) throw ParseError("invalid key of a gang record");
   part.part_index = consume_number<std::uint32_t>(key);
   part.part_count = static_cast<std::uint32_t>(wire::require_count(value, kPartCount));
-  const Json* assigned = wire::find(value, kAssigned);
-  if (!assigned || !key.empty() || part.part_index >= part.part_count) throw Malformed("invalid gang record");
+  const Json* assigned = wire::find_field(value, kAssigned);
+  if (!assigned || !key.empty() || part.part_index >= part.part_count)
+    throw ParseError("invalid gang record");
   parse_assigned(*assigned, part.attempt, part.tasks);
   return part;
 }
--- a/src/core/task_records.hpp
+++ b/src/core/task_records.hpp
@@ -32,7 +32,7 @@
   std::vector<TaskRecord> tasks;
 };
 
-// The parsers throw `wire::Malformed`.
+// The parsers throw `wire::ParseError`.
 
 // The entry of one job in a segment. Tasks with consecutive indices are written as ranges.
 wire::Json to_json(const std::vector<TaskRecord>& tasks);
--- a/src/peer/peer_messages.cpp
+++ b/src/peer/peer_messages.cpp
@@ -23,7 +23,7 @@
 
 template <class Archive>
 void serialize(Archive& archive, PolledJobStatus& message) {
-  archive(message.status, message.job.state, message.job.done, message.job.running);
+  archive(message.status, message.job.state, message.job.done_tasks, message.job.running_tasks);
 }
 
 template <class Archive>
--- a/src/store/service_call.hpp
+++ b/src/store/service_call.hpp
@@ -11,7 +11,7 @@
 #include "net/result.hpp"
 #include "net/task.hpp"
 #include "wire/codec.hpp"
-#include "wire/malformed.hpp"
+#include "wire/parse_error.hpp"
 
 namespace dockdyke::store {
 
@@ -49,7 +49,7 @@
   if (outcome != net::Outcome::ok || !reply.body) return net::failure<T>(outcome, std::move(reply.call));
   try {
     return net::Result<T>{net::Outcome::ok, parse(*reply.body), std::nullopt};
-  } catch (const wire::Malformed&) {
+  } catch (const wire::ParseError&) {
     return net::failure<T>(net::Outcome::unknown, std::move(reply.call));
   }
 }
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -60,7 +60,7 @@
   Result<Committed> result = net::failure<Committed>(Outcome::conflict, std::move(reply.call));
   try {
     result.value.failed_preconditions = wire::parse_failed_preconditions(*reply.body);
-  } catch (const wire::Malformed&) {
+  } catch (const wire::ParseError&) {
     result.value.failed_preconditions.clear();
   }
   return result;
@@ -157,7 +157,7 @@
   limits_.requests().acquire_immediately(1);
   ServiceRequest request{"POST", std::string(wire::path::kLeases), wire::encode(wire::lease_request(ttl_ms))};
   ServiceReply reply = co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
-  co_return parse_reply_of_state_service<LeaseId>(std::move(reply), wire::parse_lease);
+  co_return parse_reply_of_state_service<LeaseId>(std::move(reply), wire::parse_lease_id);
 }
 
 net::Task<Outcome> StateClient::renew(LeaseId lease) {
--- a/src/wire/cloud_messages.cpp
+++ b/src/wire/cloud_messages.cpp
@@ -10,15 +10,16 @@
 
 namespace {
 
-constexpr double kDefaultFetchGbPerS = 1;
+constexpr double kDefaultImageFetchGbPerS = 1;
 
 MachineType parse_machine_type(const Json& body) {
   MachineType type;
   type.name = require_text(body, field::kTypeName);
   type.size = {require_amount(body, field::kCpus), optional_amount(body, field::kGpus).value_or(0),
                require_amount(body, field::kMemoryGb)};
-  type.cache_gb = optional_amount(body, field::kImageCacheGb).value_or(0);
-  type.fetch_gb_per_s = optional_amount(body, field::kFetchGbPerS).value_or(kDefaultFetchGbPerS);
+  type.image_cache_gb = optional_amount(body, field::kImageCacheGb).value_or(0);
+  type.image_fetch_gb_per_s =
+      optional_amount(body, field::kImageFetchGbPerS).value_or(kDefaultImageFetchGbPerS);
   type.price = require_amount(body, field::kPrice);
   type.spot_price = optional_amount(body, field::kSpotPrice).value_or(type.price);
   type.boot_s = require_amount(body, field::kBootS);
@@ -27,11 +28,16 @@
 }
 
 Json to_json(const MachineType& type) {
-  return Json{{field::kTypeName, type.name},         {field::kCpus, type.size.cpus},
-              {field::kGpus, type.size.gpus},        {field::kMemoryGb, type.size.memory_gb},
-              {field::kImageCacheGb, type.cache_gb}, {field::kFetchGbPerS, type.fetch_gb_per_s},
-              {field::kPrice, type.price},           {field::kSpotPrice, type.spot_price},
-              {field::kBootS, type.boot_s},          {field::kZones, type.zones}};
+  return Json{{field::kTypeName, type.name},
+              {field::kCpus, type.size.cpus},
+              {field::kGpus, type.size.gpus},
+              {field::kMemoryGb, type.size.memory_gb},
+              {field::kImageCacheGb, type.image_cache_gb},
+              {field::kImageFetchGbPerS, type.image_fetch_gb_per_s},
+              {field::kPrice, type.price},
+              {field::kSpotPrice, type.spot_price},
+              {field::kBootS, type.boot_s},
+              {field::kZones, type.zones}};
 }
 
 ListedMachine parse_listed_machine(const Json& body) {
@@ -72,31 +78,31 @@
               {field::kCount, request.count}};
 }
 
-ScaleOutRequest parse_scale_out_request(const Json& value) {
+ScaleOutRequest parse_scale_out_request(const Json& body) {
   ScaleOutRequest request;
-  request.id = ScaleOutId(require_text(value, field::kScaleOutId));
-  request.type = require_text(value, field::kMachineType);
-  request.zone = require_text(value, field::kZone);
-  request.spot = require_flag(value, field::kSpot);
-  request.count = require_count(value, field::kCount);
+  request.id = ScaleOutId(require_text(body, field::kScaleOutId));
+  request.type = require_text(body, field::kMachineType);
+  request.zone = require_text(body, field::kZone);
+  request.spot = require_flag(body, field::kSpot);
+  request.count = require_count(body, field::kCount);
   return request;
 }
 
 bool is_no_capacity_error(const Json& body) {
   if (!body.is_object()) return false;
-  const Json* error = find(body, field::kError);
+  const Json* error = find_field(body, field::kError);
   return error && *error == kNoCapacityError;
 }
 
-std::vector<MachineId> parse_machine_names(const Json& body) {
-  std::vector<MachineId> names;
-  for (auto& name : require_name_list(body, field::kMachines)) names.emplace_back(std::move(name));
-  return names;
+std::vector<MachineId> parse_machine_ids(const Json& body) {
+  std::vector<MachineId> ids;
+  for (auto& name : require_name_list(body, field::kMachines)) ids.emplace_back(std::move(name));
+  return ids;
 }
 
-Json machine_names(const std::vector<MachineId>& names) {
+Json machine_ids_to_json(const std::vector<MachineId>& ids) {
   Json list = Json::array();
-  for (const auto& name : names) list.push_back(name.value);
+  for (const auto& id : ids) list.push_back(id.value);
   return Json{{field::kMachines, std::move(list)}};
 }
 
--- a/src/wire/codec.cpp
+++ b/src/wire/codec.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// First bytes of MessagePack's formats. Those below kNil, and from kMinNegativeFixint on, contain a small
-// value or a length; see the masks.
+// First bytes of MessagePack's formats. Bytes below kNil and from kMinNegativeFixint on also contain a small
+// value or, under the masks below, a length.
 enum Format : std::uint8_t {
   kMaxPositiveFixint = 0x7f,
   kMaxFixmap = 0x8f,
@@ -42,73 +42,74 @@
 constexpr std::uint8_t kFixContainerSizeMask = 0x0f;
 constexpr std::uint8_t kFixstrSizeMask = 0x1f;
 
-// Walks over one MessagePack value without building anything. The library's decoder recurses per level and
-// would overflow the stack on deeply nested lists, so the depth is checked here first.
-class Scanner {
+// Validates MessagePack data without decoding it. The library's decoder recurses once per nesting level and
+// would overflow the stack on deeply nested data, so the depth is checked here first. The skip_* functions
+// advance past one element and return whether it is valid.
+class MessagePackValidator {
  public:
-  explicit Scanner(std::string_view bytes) : bytes_(bytes) {}
+  explicit MessagePackValidator(std::string_view bytes) : bytes_(bytes) {}
 
-  // Whether the bytes are exactly one value that the protocol allows.
-  bool is_one_value() { return value(0) && remaining() == 0; }
+  // Returns whether the bytes are exactly one value that the protocol allows.
+  bool validate() { return skip_value(0) && remaining() == 0; }
 
  private:
   std::size_t remaining() const { return bytes_.size() - position_; }
 
-  std::uint8_t next_byte() { return static_cast<std::uint8_t>(bytes_[position_++]); }
+  std::uint8_t read_byte() { return static_cast<std::uint8_t>(bytes_[position_++]); }
 
-  bool skip(std::size_t count) {
+  bool skip_bytes(std::size_t count) {
     if (count > remaining()) return false;
     position_ += count;
     return true;
   }
 
-  // A big-endian length of `width` bytes.
-  std::optional<std::size_t> length(std::size_t width) {
+  // Reads a big-endian length of `width` bytes. Returns std::nullopt if fewer bytes remain.
+  std::optional<std::size_t> read_length(std::size_t width) {
     if (width > remaining()) return std::nullopt;
     std::size_t result = 0;
-    for (std::size_t i = 0; i < width; ++i) result = result << 8 | next_byte();
+    for (std::size_t i = 0; i < width; ++i) result = result << 8 | read_byte();
     return result;
   }
 
-  bool text(std::size_t length_width) {
-    const auto size = length(length_width);
-    return size && skip(*size);
+  bool skip_text(std::size_t length_width) {
+    const auto size = read_length(length_width);
+    return size && skip_bytes(*size);
   }
 
-  bool array(std::optional<std::size_t> count, int depth) {
+  bool skip_array(std::optional<std::size_t> count, int depth) {
     if (!count || depth >= constants::kMaxNestingDepth) return false;
     for (std::size_t i = 0; i < *count; ++i)
-      if (!value(depth + 1)) return false;
+      if (!skip_value(depth + 1)) return false;
     return true;
   }
 
-  bool map(std::optional<std::size_t> count, int depth) {
+  bool skip_map(std::optional<std::size_t> count, int depth) {
     if (!count || depth >= constants::kMaxNestingDepth) return false;
     for (std::size_t i = 0; i < *count; ++i)
-      if (!key() || !value(depth + 1)) return false;
+      if (!skip_key() || !skip_value(depth + 1)) return false;
     return true;
   }
 
-  // Only text may be a key.
-  bool key() {
+  // Map keys must be strings.
+  bool skip_key() {
     if (remaining() == 0) return false;
-    const std::uint8_t format = next_byte();
-    if (format >= kMinFixstr && format <= kMaxFixstr) return skip(format & kFixstrSizeMask);
-    return format >= kStr8 && format <= kStr32 && sized_value(format, 0);
+    const std::uint8_t format = read_byte();
+    if (format >= kMinFixstr && format <= kMaxFixstr) return skip_bytes(format & kFixstrSizeMask);
+    return format >= kStr8 && format <= kStr32 && skip_after_format_byte(format, 0);
   }
 
-  bool value(int depth) {
+  bool skip_value(int depth) {
     if (remaining() == 0) return false;
-    const std::uint8_t format = next_byte();
+    const std::uint8_t format = read_byte();
     if (format <= kMaxPositiveFixint || format >= kMinNegativeFixint) return true;
-    if (format <= kMaxFixmap) return map(format & kFixContainerSizeMask, depth);
-    if (format <= kMaxFixarray) return array(format & kFixContainerSizeMask, depth);
-    if (format <= kMaxFixstr) return skip(format & kFixstrSizeMask);
-    return sized_value(format, depth);
+    if (format <= kMaxFixmap) return skip_map(format & kFixContainerSizeMask, depth);
+    if (format <= kMaxFixarray) return skip_array(format & kFixContainerSizeMask, depth);
+    if (format <= kMaxFixstr) return skip_bytes(format & kFixstrSizeMask);
+    return skip_after_format_byte(format, depth);
   }
 
-  // The rest of a value whose first byte only names its format.
-  bool sized_value(std::uint8_t format, int depth) {
+  // Skips the rest of a value whose format byte contains neither the value nor its length.
+  bool skip_after_format_byte(std::uint8_t format, int depth) {
     switch (format) {
       case kNil:
       case kFalse:
@@ -116,34 +117,34 @@
         return true;
       case kUint8:
       case kInt8:
-        return skip(1);
+        return skip_bytes(1);
       case kUint16:
       case kInt16:
-        return skip(2);
+        return skip_bytes(2);
       case kFloat32:
       case kUint32:
       case kInt32:
-        return skip(4);
+        return skip_bytes(4);
       case kFloat64:
       case kUint64:
       case kInt64:
-        return skip(8);
+        return skip_bytes(8);
       case kStr8:
-        return text(1);
+        return skip_text(1);
       case kStr16:
-        return text(2);
+        return skip_text(2);
       case kStr32:
-        return text(4);
+        return skip_text(4);
       case kArray16:
-        return array(length(2), depth);
+        return skip_array(read_length(2), depth);
       case kArray32:
-        return array(length(4), depth);
+        return skip_array(read_length(4), depth);
       case kMap16:
-        return map(length(2), depth);
+        return skip_map(read_length(2), depth);
       case kMap32:
-        return map(length(4), depth);
+        return skip_map(read_length(4), depth);
       default:
-        return false;  // binary data, extensions and the byte that MessagePack never uses
+        return false;  // binary data, extensions and the unused byte 0xc1
     }
   }
 
@@ -154,7 +155,7 @@
 }  // namespace
 
 std::optional<Json> decode(std::string_view bytes) {
-  if (!Scanner(bytes).is_one_value()) return std::nullopt;
+  if (!MessagePackValidator(bytes).validate()) return std::nullopt;
   constexpr bool kStrict = true;
   constexpr bool kAllowExceptions = false;
   auto value = Json::from_msgpack(bytes.begin(), bytes.end(), kStrict, kAllowExceptions);
--- a/src/wire/codec.hpp
+++ b/src/wire/codec.hpp
@@ -1,4 +1,4 @@
-// The encoding of bodies: MessagePack, restricted to what the protocol allows (PROTOCOL, introduction).
+// Encodes and decodes message bodies: MessagePack, restricted to the subset that the protocol allows.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,9 +11,9 @@
 // A decoded body.
 using Json = nlohmann::json;
 
-// Decodes exactly one complete value. Returns nothing if the bytes are truncated, nested deeper than
-// constants::kMaxNestingDepth, followed by further bytes, or contain what the protocol excludes (binary data,
-// extensions, map keys that are not text).
+// Decodes exactly one complete value. Returns std::nullopt if the bytes are truncated, nested deeper than
+// constants::kMaxNestingDepth, followed by further bytes, or contain formats that the protocol excludes
+// (binary data, extensions, map keys that are not strings).
 std::optional<Json> decode(std::string_view bytes);
 
 std::string encode(const Json& value);
--- a/src/wire/enum_table.hpp
+++ b/src/wire/enum_table.hpp
@@ -1,4 +1,4 @@
-// Tables that map the texts of the protocol to enum values.
+// Tables that map between the protocol's strings and enum values.
 #pragma once
 
 #include <array>
@@ -11,31 +11,31 @@
 
 namespace dockdyke::wire {
 
-// Pairs of a text in the protocol and the value that it stands for.
+// Pairs of a protocol string and the enum value that it represents.
 template <class Enum, std::size_t N>
 using EnumTable = std::array<std::pair<std::string_view, Enum>, N>;
 
-// The value that a text stands for; nothing if the table lacks it.
+// Returns the enum value of a protocol string, or std::nullopt if the table does not contain the string.
 template <class Enum, std::size_t N>
-std::optional<Enum> value_of(const EnumTable<Enum, N>& table, std::string_view text) {
-  for (const auto& [spelling, value] : table)
-    if (spelling == text) return value;
+std::optional<Enum> enum_from_text(const EnumTable<Enum, N>& table, std::string_view text) {
+  for (const auto& [entry_text, value] : table)
+    if (entry_text == text) return value;
   return std::nullopt;
 }
 
-// The text of a value; empty if the table lacks it.
+// Returns the protocol string of an enum value, or an empty string if the table does not contain the value.
 template <class Enum, std::size_t N>
-std::string_view spelling_of(const EnumTable<Enum, N>& table, Enum wanted) {
-  for (const auto& [spelling, value] : table)
-    if (value == wanted) return spelling;
+std::string_view enum_to_text(const EnumTable<Enum, N>& table, Enum requested) {
+  for (const auto& [text, value] : table)
+    if (value == requested) return text;
   return {};
 }
 
-// A required field whose text must be in the table.
+// Returns the enum value of a required field. Throws ParseError if the table does not contain its string.
 template <class Enum, std::size_t N>
 Enum require_enum(const Json& map, const char* field, const EnumTable<Enum, N>& table) {
-  auto value = value_of(table, require_text(map, field));
-  if (!value) throw Malformed(Fault::unknown_value, field);
+  auto value = enum_from_text(table, require_text(map, field));
+  if (!value) throw ParseError(ParseErrorCode::unknown_value, field);
   return *value;
 }
 
--- a/src/wire/fields.cpp
+++ b/src/wire/fields.cpp
@@ -10,26 +10,27 @@
 
 namespace {
 
-// 2^64, the first number that does not fit into a count.
-constexpr double kCountLimit = 18446744073709551616.0;
+// 2^64, the smallest number that does not fit into a std::uint64_t.
+constexpr double kCountUpperBound = 18446744073709551616.0;
 
 template <class T>
-T required(std::optional<T> value, const char* field) {
-  if (!value) throw Malformed(Fault::missing, field);
+T value_or_throw(std::optional<T> value, const char* field) {
+  if (!value) throw ParseError(ParseErrorCode::missing, field);
   return *std::move(value);
 }
 
-// The converted value of a field, or nothing if the field is absent or null.
+// Returns the converted value of a field, or std::nullopt if the field is absent or null. Throws ParseError
+// if the conversion fails.
 template <class T, class Convert>
-std::optional<T> converted(const Json& map, const char* field, Convert convert) {
-  const Json* value = find(map, field);
+std::optional<T> convert_field(const Json& map, const char* field, Convert convert) {
+  const Json* value = find_field(map, field);
   if (!value) return std::nullopt;
   std::optional<T> result = convert(*value);
-  // A number is refused for its value only where a number is wanted; as text or a flag its type is wrong.
-  constexpr bool kWantsNumber = std::is_same_v<T, double> || std::is_same_v<T, std::uint64_t>;
+  // A number in a numeric field has the right type, so only its value can be wrong.
+  constexpr bool kIsNumericField = std::is_same_v<T, double> || std::is_same_v<T, std::uint64_t>;
   if (!result) {
-    const bool only_value_wrong = kWantsNumber && value->is_number();
-    throw Malformed(only_value_wrong ? Fault::out_of_range : Fault::wrong_type, field);
+    const bool has_right_type = kIsNumericField && value->is_number();
+    throw ParseError(has_right_type ? ParseErrorCode::out_of_range : ParseErrorCode::wrong_type, field);
   }
   return result;
 }
@@ -50,8 +51,8 @@
 
 std::string parse_name(const Json& value) {
   auto text = as_text(value);
-  if (!text) throw Malformed(Fault::wrong_type, {});
-  if (!is_valid_name(*text)) throw Malformed(Fault::out_of_range, {});
+  if (!text) throw ParseError(ParseErrorCode::wrong_type, {});
+  if (!is_valid_name(*text)) throw ParseError(ParseErrorCode::out_of_range, {});
   return *std::move(text);
 }
 
@@ -66,8 +67,8 @@
   }
   if (!value.is_number_float()) return std::nullopt;
   double number = value.get<double>();
-  // The comparison also refuses NaN.
-  if (!(number >= 0 && number < kCountLimit) || std::trunc(number) != number) return std::nullopt;
+  // The negated comparison also rejects NaN.
+  if (!(number >= 0 && number < kCountUpperBound) || std::trunc(number) != number) return std::nullopt;
   return static_cast<std::uint64_t>(number);
 }
 
@@ -78,76 +79,77 @@
   return number;
 }
 
-const Json* find(const Json& map, const char* field) {
-  if (!map.is_object()) throw Malformed(Fault::not_a_map, {});
-  auto found = map.find(field);
-  return found == map.end() || found->is_null() ? nullptr : &*found;
+const Json* find_field(const Json& map, const char* field) {
+  if (!map.is_object()) throw ParseError(ParseErrorCode::not_a_map, {});
+  auto entry = map.find(field);
+  return entry == map.end() || entry->is_null() ? nullptr : &*entry;
 }
 
 std::optional<std::string> optional_text(const Json& map, const char* field) {
-  return converted<std::string>(map, field, as_text);
+  return convert_field<std::string>(map, field, as_text);
 }
 
 std::string require_text(const Json& map, const char* field) {
-  return required(optional_text(map, field), field);
+  return value_or_throw(optional_text(map, field), field);
 }
 
 std::optional<std::string> optional_name(const Json& map, const char* field) {
   auto name = optional_text(map, field);
-  if (name && !is_valid_name(*name)) throw Malformed(Fault::out_of_range, field);
+  if (name && !is_valid_name(*name)) throw ParseError(ParseErrorCode::out_of_range, field);
   return name;
 }
 
 std::string require_name(const Json& map, const char* field) {
-  return required(optional_name(map, field), field);
+  return value_or_throw(optional_name(map, field), field);
 }
 
 std::optional<std::uint64_t> optional_count(const Json& map, const char* field) {
-  return converted<std::uint64_t>(map, field, as_count);
+  return convert_field<std::uint64_t>(map, field, as_count);
 }
 
 std::uint64_t require_count(const Json& map, const char* field) {
-  return required(optional_count(map, field), field);
+  return value_or_throw(optional_count(map, field), field);
 }
 
 std::optional<double> optional_amount(const Json& map, const char* field) {
-  return converted<double>(map, field, as_amount);
+  return convert_field<double>(map, field, as_amount);
 }
 
 double require_amount(const Json& map, const char* field) {
-  return required(optional_amount(map, field), field);
+  return value_or_throw(optional_amount(map, field), field);
 }
 
 std::optional<double> optional_bounded_amount(const Json& map, const char* field) {
   auto amount = optional_amount(map, field);
-  if (amount && *amount > constants::kMaxAmount) throw Malformed(Fault::out_of_range, field);
+  if (amount && *amount > constants::kMaxAmount) throw ParseError(ParseErrorCode::out_of_range, field);
   return amount;
 }
 
 double require_bounded_amount(const Json& map, const char* field) {
-  return required(optional_bounded_amount(map, field), field);
+  return value_or_throw(optional_bounded_amount(map, field), field);
 }
 
 bool require_flag(const Json& map, const char* field) {
-  return required(converted<bool>(map, field, as_flag), field);
+  return value_or_throw(convert_field<bool>(map, field, as_flag), field);
 }
 
 bool flag_or(const Json& map, const char* field, bool fallback) {
-  return converted<bool>(map, field, as_flag).value_or(fallback);
+  return convert_field<bool>(map, field, as_flag).value_or(fallback);
 }
 
 const Json& require_list(const Json& map, const char* field) {
-  const Json* list = find(map, field);
-  if (!list) throw Malformed(Fault::missing, field);
-  if (!list->is_array()) throw Malformed(Fault::wrong_type, field);
+  const Json* list = find_field(map, field);
+  if (!list) throw ParseError(ParseErrorCode::missing, field);
+  if (!list->is_array()) throw ParseError(ParseErrorCode::wrong_type, field);
   return *list;
 }
 
 std::vector<std::string> require_name_list(const Json& map, const char* field) {
-  std::vector<std::string> unique;
+  std::vector<std::string> unique_names;
   for (auto& name : require_items(map, field, parse_name))
-    if (std::find(unique.begin(), unique.end(), name) == unique.end()) unique.push_back(std::move(name));
-  return unique;
+    if (std::find(unique_names.begin(), unique_names.end(), name) == unique_names.end())
+      unique_names.push_back(std::move(name));
+  return unique_names;
 }
 
 std::string item_path(const char* field, std::size_t index) {
--- a/src/wire/fields.hpp
+++ b/src/wire/fields.hpp
@@ -1,7 +1,6 @@
-// Checked access to the fields of a decoded body. All functions throw Malformed with the field's name when
-// the body is not a map or when a field that is present has the wrong type or an invalid value. `require_*`
-// also throws when the field is absent or null; `optional_*` returns nothing then (PROTOCOL: "Any field that
-// may be null may equally be omitted").
+// Checked access to the fields of a decoded body. All functions throw ParseError if the body is not a map or
+// if a present field has the wrong type or an invalid value; the error names the field. If the field is
+// absent or null, which the protocol treats alike, `require_*` throws and `optional_*` returns std::nullopt.
 #pragma once
 
 #include <cstddef>
@@ -12,26 +11,26 @@
 #include <vector>
 
 #include "wire/codec.hpp"
-#include "wire/malformed.hpp"
+#include "wire/parse_error.hpp"
 
 namespace dockdyke::wire {
 
-// ---- Conversion of single values ----
+// ---- Conversion of single values; std::nullopt if the value is not valid ----
 
-// An integer from 0 to 2^64 - 1. A decimal without a fractional part, such as 16.0, is accepted as well.
+// Converts an integer from 0 to 2^64 - 1. A float without a fractional part, such as 16.0, is also accepted.
 std::optional<std::uint64_t> as_count(const Json& value);
-// A finite number that is not negative.
+// Converts a finite, non-negative number.
 std::optional<double> as_amount(const Json& value);
 
 // ---- Fields of a map ----
 
-// The field's value, or nullptr if it is absent or null.
-const Json* find(const Json& map, const char* field);
+// Returns the field's value, or nullptr if it is absent or null.
+const Json* find_field(const Json& map, const char* field);
 
 std::string require_text(const Json& map, const char* field);
 std::optional<std::string> optional_text(const Json& map, const char* field);
 
-// A name: text of 1 to constants::kMaxNameBytes bytes.
+// A name is a string of 1 to constants::kMaxNameBytes bytes.
 std::string require_name(const Json& map, const char* field);
 std::optional<std::string> optional_name(const Json& map, const char* field);
 
@@ -41,7 +40,7 @@
 double require_amount(const Json& map, const char* field);
 std::optional<double> optional_amount(const Json& map, const char* field);
 
-// An amount of at most constants::kMaxAmount.
+// A bounded amount is at most constants::kMaxAmount.
 double require_bounded_amount(const Json& map, const char* field);
 std::optional<double> optional_bounded_amount(const Json& map, const char* field);
 
@@ -52,13 +51,13 @@
 
 const Json& require_list(const Json& map, const char* field);
 
-// A list of names. Repeated names are returned once, in the order of their first occurrence.
+// Returns a list of names without duplicates, in the order of their first occurrence.
 std::vector<std::string> require_name_list(const Json& map, const char* field);
 
-// The path of an item of a list, e.g. "pieces[3]".
+// Returns the path of a list item, e.g. "pieces[3]".
 std::string item_path(const char* field, std::size_t index);
 
-// Parses each item of a required list. An error names the item: "pieces[3].try: missing".
+// Parses each item of a required list. Errors name the item, e.g. "pieces[3].try: missing".
 template <class ParseItem>
 std::vector<std::invoke_result_t<ParseItem, const Json&>> require_items(const Json& map, const char* field,
                                                                         ParseItem parse_item) {
@@ -68,8 +67,8 @@
   for (std::size_t i = 0; i < list.size(); ++i) {
     try {
       items.push_back(parse_item(list[i]));
-    } catch (const Malformed& error) {
-      throw error.within(item_path(field, i));
+    } catch (const ParseError& error) {
+      throw error.with_path_prefix(item_path(field, i));
     }
   }
   return items;
--- a/src/wire/ids.hpp
+++ b/src/wire/ids.hpp
@@ -1,4 +1,4 @@
-// Strong identifier types: the compiler refuses a job's id where a machine's is expected.
+// Strong identifier types: passing a job id where a machine id is expected does not compile.
 #pragma once
 
 #include <compare>
@@ -9,8 +9,8 @@
 
 namespace dockdyke {
 
-// A value that can be compared and hashed, and that converts neither from nor to another kind of id. `Tag`
-// tells the kinds apart.
+// An identifier that can be compared and hashed and has no implicit conversions. `Tag` makes each kind of
+// identifier a distinct type.
 template <class Tag, class Value>
 struct StrongId {
   Value value{};
@@ -21,18 +21,19 @@
 
 using JobId = StrongId<struct JobTag, std::string>;
 using MachineId = StrongId<struct MachineTag, std::string>;
-// Idempotency key of a scale-out request. Never used again for another request.
+// Idempotency key of a scale-out request. Never reused for another request.
 using ScaleOutId = StrongId<struct ScaleOutTag, std::string>;
-// A lease of the state service.
+// Id of a lease in the state service.
 using LeaseId = StrongId<struct LeaseTag, std::uint64_t>;
-// The token that entitles a leader to give commands. PROTOCOL, "Tokens".
+// Fencing token of a leader. Workers reject commands with a lower token than the highest one they have seen.
 using FencingToken = StrongId<struct FencingTokenTag, std::uint64_t>;
-// A revision of the state service: of its whole contents, or of the last change of one key.
+// Revision of the state service as a whole, or of the last change of one key.
 using Revision = StrongId<struct RevisionTag, std::uint64_t>;
 
-// Position of a task in its job, from 0.
+// Zero-based index of a task in its job.
 using TaskIndex = std::uint32_t;
-// Number of a task's start. An attempt that was acknowledged may be started anew, so numbers are not reused.
+// Number of an attempt to run a task. Numbers are never reused: once an attempt's exit is acknowledged, the
+// worker no longer knows the attempt and would run it again.
 using Attempt = std::uint64_t;
 
 }  // namespace dockdyke
--- a/src/wire/messages.hpp
+++ b/src/wire/messages.hpp
@@ -1,4 +1,4 @@
-// All messages of the protocol. Each interface has a header of its own.
+// Includes the messages of all interfaces of the protocol.
 #pragma once
 
 #include "wire/cloud_messages.hpp"
--- a/src/wire/percent_encoding.hpp
+++ b/src/wire/percent_encoding.hpp
@@ -1,4 +1,4 @@
-// Percent-encoding of text in the path and query of a request (RFC 3986, section 2.1).
+// Percent-encoding for the path and query of a request (RFC 3986, section 2.1).
 #pragma once
 
 #include <string>
@@ -6,8 +6,7 @@
 
 namespace dockdyke::wire {
 
-// Escapes all bytes but the unreserved characters and slashes (PROTOCOL, "GET /store/{key}": "slashes in keys
-// are not escaped").
+// Escapes all bytes except unreserved characters and slashes. The protocol leaves slashes in keys unescaped.
 std::string percent_encode(std::string_view text);
 
 }  // namespace dockdyke::wire
--- a/src/wire/query_string.hpp
+++ b/src/wire/query_string.hpp
@@ -1,4 +1,4 @@
-// Builds the path of a request with a query part, e.g. "/machines?page=500&since=n-000230".
+// Builds a request path with query parameters, e.g. "/machines?page=500&since=n-000230".
 #pragma once
 
 #include <string>
@@ -10,21 +10,21 @@
 
 class QueryString {
  public:
-  explicit QueryString(std::string_view path) : text_(path) {}
+  explicit QueryString(std::string_view path) : target_(path) {}
 
-  // Appends a parameter; its value is percent-encoded.
+  // Appends a parameter and percent-encodes its value.
   void add(std::string_view name, std::string_view value) {
-    text_ += separator_;
-    text_ += name;
-    text_ += '=';
-    text_ += percent_encode(value);
+    target_ += separator_;
+    target_ += name;
+    target_ += '=';
+    target_ += percent_encode(value);
     separator_ = '&';
   }
 
-  const std::string& str() const { return text_; }
+  const std::string& str() const { return target_; }
 
  private:
-  std::string text_;
+  std::string target_;
   char separator_ = '?';
 };
 
--- a/src/wire/resources.cpp
+++ b/src/wire/resources.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Far below any amount in use, far above the error of summing decimals.
+// Much smaller than any real amount, much larger than the rounding error of summed doubles.
 constexpr double kRoundingTolerance = 1e-6;
 
 bool fits(double amount, double capacity) {
--- a/src/wire/resources.hpp
+++ b/src/wire/resources.hpp
@@ -1,4 +1,4 @@
-// Amounts of CPU, GPU and memory: what a task takes and what a machine has.
+// Amounts of CPU, GPU and memory, used for the demand of a task and the capacity of a machine.
 #pragma once
 
 namespace dockdyke::wire {
@@ -10,11 +10,11 @@
 
   Resources& operator+=(const Resources& other);
   Resources& operator-=(const Resources& other);
-  friend Resources operator*(Resources each, double count) {
-    return {each.cpus * count, each.gpus * count, each.memory_gb * count};
+  friend Resources operator*(Resources resources, double count) {
+    return {resources.cpus * count, resources.gpus * count, resources.memory_gb * count};
   }
 
-  // Whether each amount is at most that of `capacity`, up to the rounding error of summed decimals.
+  // Returns whether each amount is at most that of `capacity`, with a tolerance for rounding errors.
   bool fits_into(const Resources& capacity) const;
 };
 
--- a/src/wire/shared_protocol.hpp
+++ b/src/wire/shared_protocol.hpp
@@ -1,6 +1,5 @@
-// Field names that occur in more than one interface of the protocol. This header and the other *_protocol.hpp
-// headers are the only place that knows how the protocol spells its fields and values; each constant is named
-// after what the field means. Read them beside PROTOCOL.
+// Field names that occur in more than one interface of the protocol. Only the *_protocol.hpp headers contain
+// the protocol's names of fields and values; each constant is named after the meaning of its field.
 #pragma once
 
 namespace dockdyke::wire::field {
@@ -8,24 +7,24 @@
 // protocol field -> meaning
 inline constexpr const char* kId = "id";         // id of a job, or of a machine in the machine list
 inline constexpr const char* kState = "stage";   // state of a job, a task or a listed machine
-inline constexpr const char* kTasks = "pieces";  // a job's number of tasks; in a heartbeat the list of tasks
+inline constexpr const char* kTasks = "pieces";  // number of tasks of a job, or list of tasks in a heartbeat
 
 inline constexpr const char* kCpus = "vcpus";           // virtual CPUs
 inline constexpr const char* kGpus = "gpus";            // GPUs
 inline constexpr const char* kMemoryGb = "ram_gb";      // memory in GB
 inline constexpr const char* kMachineType = "build";    // machine type of a machine or a scale-out request
-inline constexpr const char* kMachineTypes = "builds";  // a job's allowed types; the cloud's list of types
-inline constexpr const char* kZone = "polder";          // zone of a machine; a job's only allowed zone
-inline constexpr const char* kSpot = "ebbtide";  // spot instance; for a job: spot instances are allowed
+inline constexpr const char* kMachineTypes = "builds";  // allowed types of a job; the cloud's list of types
+inline constexpr const char* kZone = "polder";          // zone of a machine; the only allowed zone of a job
+inline constexpr const char* kSpot = "ebbtide";         // machine is a spot instance, or job allows them
 
 inline constexpr const char* kMore = "more";  // whether a listing continues after this page
 
 }  // namespace dockdyke::wire::field
 
-// Parameters in the query part of a request's path.
+// Query parameters that occur in more than one interface of the protocol.
 namespace dockdyke::wire::query {
 
-inline constexpr const char* kAfter = "since";    // start after this name, key or revision
-inline constexpr const char* kPageSize = "page";  // largest number of items in the response
+inline constexpr const char* kAfter = "since";    // the response starts after this name, key or revision
+inline constexpr const char* kPageSize = "page";  // maximum number of items in the response
 
 }  // namespace dockdyke::wire::query
--- a/src/wire/state_messages.cpp
+++ b/src/wire/state_messages.cpp
@@ -21,22 +21,22 @@
   return body;
 }
 
-Json deletion_of(const std::string& key) {
+Json deletion_to_json(const std::string& key) {
   return Json{{field::kDeletedKey, key}};
 }
 
-// The stored value; null if the service omits it, since a value may be null.
-Json value_in(const Json& body) {
-  const Json* value = find(body, field::kValue);
+// Returns the stored value. The service may omit the field if the value is null.
+Json parse_value(const Json& body) {
+  const Json* value = find_field(body, field::kValue);
   return value ? *value : Json();
 }
 
 KeyEvent parse_key_event(const Json& body) {
   KeyEvent event;
   event.version = Revision(require_count(body, field::kVersion));
-  if (auto written = optional_text(body, field::kPutKey)) {
-    event.key = *std::move(written);
-    event.value = value_in(body);
+  if (auto put_key = optional_text(body, field::kPutKey)) {
+    event.key = *std::move(put_key);
+    event.value = parse_value(body);
   } else {
     event.key = require_text(body, field::kDeletedKey);
   }
@@ -46,7 +46,7 @@
 }  // namespace
 
 KeyValue parse_key_value(const Json& body) {
-  return KeyValue{require_text(body, field::kKey), value_in(body),
+  return KeyValue{require_text(body, field::kKey), parse_value(body),
                   Revision(require_count(body, field::kVersion))};
 }
 
@@ -63,7 +63,7 @@
   for (const auto& precondition : transaction.preconditions) preconditions.push_back(to_json(precondition));
   Json changes = Json::array();
   for (const auto& put : transaction.puts) changes.push_back(to_json(put));
-  for (const auto& key : transaction.deletions) changes.push_back(deletion_of(key));
+  for (const auto& key : transaction.deletions) changes.push_back(deletion_to_json(key));
   return Json{{field::kPreconditions, std::move(preconditions)}, {field::kChanges, std::move(changes)}};
 }
 
@@ -89,7 +89,7 @@
   return Json{{field::kLeaseTtlMs, ttl_ms}};
 }
 
-LeaseId parse_lease(const Json& body) {
+LeaseId parse_lease_id(const Json& body) {
   return LeaseId(require_count(body, field::kLease));
 }
 
@@ -99,7 +99,7 @@
 
 constexpr std::string_view kStore = "/store";
 constexpr std::string_view kWatch = "/watch";
-constexpr std::string_view kLeaseRenewal = "/touch";  // after the lease's path
+constexpr std::string_view kLeaseRenewalSuffix = "/touch";  // appended to the path of the lease
 
 }  // namespace
 
@@ -128,7 +128,7 @@
 }
 
 std::string lease_renewal(LeaseId id) {
-  return lease(id) + std::string(kLeaseRenewal);
+  return lease(id) + std::string(kLeaseRenewalSuffix);
 }
 
 }  // namespace path
--- a/src/wire/state_messages.hpp
+++ b/src/wire/state_messages.hpp
@@ -1,5 +1,5 @@
 // Messages of the interface "Controller nodes -> state service" in PROTOCOL: keys, transactions, leases and
-// watches. Functions named parse_* throw Malformed if the body does not follow the protocol.
+// watches. Functions named parse_* throw ParseError if the body does not follow the protocol.
 #pragma once
 
 #include <cstdint>
@@ -10,41 +10,41 @@
 
 #include "wire/codec.hpp"
 #include "wire/ids.hpp"
-#include "wire/malformed.hpp"
+#include "wire/parse_error.hpp"
 
 namespace dockdyke::wire {
 
-// A key as stored. PROTOCOL, "GET /store/{key}".
+// A stored key with its value. PROTOCOL, "GET /store/{key}".
 struct KeyValue {
-  std::string key;  // 1 to 200 bytes without spaces
+  std::string key;  // 1 to 200 bytes, no spaces
   Json value;
   Revision version;  // revision of the key's last change
 };
 KeyValue parse_key_value(const Json& body);
 
-// A page of a listing, in the order of keys. PROTOCOL, "GET /store?starts=".
+// One page of a listing, ordered by key. PROTOCOL, "GET /store?starts=".
 struct KeyPage {
   std::vector<KeyValue> items;
   bool more = false;  // whether further pages follow
-  Revision revision;  // of the store when the page was read
+  Revision revision;  // of the state service when the page was read
 };
 KeyPage parse_key_page(const Json& body);
 
-// A condition of a transaction: the key has this version. 0: the key must not exist.
+// A precondition of a transaction: the key must have this version. 0: the key must not exist.
 struct Precondition {
   std::string key;
   Revision version;
 };
 
-// Writes a key and attaches it to the lease; without one the key is detached from any.
+// Writes a key and attaches it to the lease. Without a lease, the key is detached from its current one.
 struct Put {
   std::string key;
   Json value;
   std::optional<LeaseId> lease;
 };
 
-// Changes that are made all or not at all, if all preconditions hold. PROTOCOL, "POST /txn", states its
-// limits.
+// A compare-and-swap transaction: if all preconditions hold, all changes are applied atomically; otherwise
+// none is. PROTOCOL, "POST /txn".
 struct Transaction {
   std::vector<Precondition> preconditions;
   std::vector<Put> puts;
@@ -52,43 +52,45 @@
 };
 Json to_json(const Transaction& transaction);
 
-// The revision in the response to a transaction that was applied, and in that to a key that does not exist.
+// Parses the revision in the response to an applied transaction or to the read of a key that does not exist.
 Revision parse_revision(const Json& body);
-// The keys whose preconditions failed, from a 409 response.
+// Parses a 409 response and returns the keys whose preconditions failed.
 std::vector<std::string> parse_failed_preconditions(const Json& body);
 
-// A change that a watch returns.
+// A change of one key, delivered by a watch.
 struct KeyEvent {
   std::string key;
-  std::optional<Json> value;  // nothing: the key was removed
-  Revision version;           // of the change
+  std::optional<Json> value;  // empty if the key was deleted
+  Revision version;           // revision of the change
 };
 
-// Response of a watch. PROTOCOL, "GET /watch".
+// Response to a watch. PROTOCOL, "GET /watch".
 struct KeyEvents {
   std::vector<KeyEvent> events;
-  Revision revision;  // the next watch continues after it
+  Revision revision;  // the next watch starts after this revision
 };
 KeyEvents parse_key_events(const Json& body);
 
-// Request for a lease that ends `ttl_ms` (100 to 600,000) after its last renewal. PROTOCOL, "POST /holds".
+// Builds the request for a lease that expires `ttl_ms` (100 to 600,000) after its last renewal. PROTOCOL,
+// "POST /holds".
 Json lease_request(std::uint64_t ttl_ms);
-// The lease in the response.
-LeaseId parse_lease(const Json& body);
+// Parses the lease id from the response.
+LeaseId parse_lease_id(const Json& body);
 
 namespace path {
 
 inline constexpr std::string_view kTransaction = "/txn";  // POST
-inline constexpr std::string_view kLeases = "/holds";     // POST: new lease
+inline constexpr std::string_view kLeases = "/holds";     // POST: create a lease
 
-// GET: one key.
+// GET: reads one key.
 std::string key(const std::string& key);
-// GET: keys that begin with `prefix`, from after the key `after` (empty: from the first), at most `limit`.
+// GET: lists at most `limit` keys that begin with `prefix` and follow the key `after` (empty: from the
+// first).
 std::string key_page(const std::string& prefix, const std::string& after, std::uint64_t limit);
-// GET: changes of keys that begin with `prefix` after the revision `after`; waits up to `wait_ms` for the
-// first one.
+// GET: returns the changes after the revision `after` of keys that begin with `prefix`. The state service
+// waits up to `wait_ms` for the first change.
 std::string watch(const std::string& prefix, Revision after, std::uint64_t wait_ms);
-// DELETE: ends the lease.
+// DELETE: revokes the lease.
 std::string lease(LeaseId id);
 // POST: renews the lease.
 std::string lease_renewal(LeaseId id);
--- a/src/wire/state_protocol.hpp
+++ b/src/wire/state_protocol.hpp
@@ -6,19 +6,19 @@
 namespace dockdyke::wire::field {
 
 // protocol field -> meaning
-inline constexpr const char* kKey = "k";                       // key of a pair or of a precondition
-inline constexpr const char* kValue = "value";                 // value of a key
-inline constexpr const char* kVersion = "stamp";               // revision of a key's last change
-inline constexpr const char* kRevision = "ledger";             // revision of the whole store
-inline constexpr const char* kLease = "tenure";                // lease that a key is attached to
-inline constexpr const char* kLeaseTtlMs = "life_ms";          // lifetime of a new lease
-inline constexpr const char* kItems = "pairs";                 // keys and values of a listing
-inline constexpr const char* kPreconditions = "guards";        // versions that a transaction requires
-inline constexpr const char* kChanges = "apply";               // puts and deletions of a transaction
-inline constexpr const char* kPutKey = "write";                // key that a put or its event writes
-inline constexpr const char* kDeletedKey = "remove";           // key that a deletion or its event removes
-inline constexpr const char* kFailedPreconditions = "failed";  // keys whose version was another one
-inline constexpr const char* kEvents = "log";                  // changes that a watch returns
+inline constexpr const char* kKey = "k";                 // key of a listed item or of a precondition
+inline constexpr const char* kValue = "value";           // value of a key
+inline constexpr const char* kVersion = "stamp";         // revision of a key's last change
+inline constexpr const char* kRevision = "ledger";       // revision of the state service
+inline constexpr const char* kLease = "tenure";          // lease that a key is attached to
+inline constexpr const char* kLeaseTtlMs = "life_ms";    // lifetime of a new lease
+inline constexpr const char* kItems = "pairs";           // key-value pairs of a listing
+inline constexpr const char* kPreconditions = "guards";  // preconditions of a transaction
+inline constexpr const char* kChanges = "apply";         // puts and deletions of a transaction
+inline constexpr const char* kPutKey = "write";          // key written by a put, in a transaction or event
+inline constexpr const char* kDeletedKey = "remove";     // key deleted, in a transaction or event
+inline constexpr const char* kFailedPreconditions = "failed";  // keys whose preconditions failed
+inline constexpr const char* kEvents = "log";                  // changes delivered by a watch
 
 }  // namespace dockdyke::wire::field
 
--- a/src/wire/user_messages.cpp
+++ b/src/wire/user_messages.cpp
@@ -13,24 +13,25 @@
 
 JobId require_job_id(const Json& body) {
   auto id = require_text(body, field::kId);
-  if (!is_job_id(id)) throw Malformed(Fault::invalid_format, field::kId);
+  if (!is_job_id(id)) throw ParseError(ParseErrorCode::invalid_format, field::kId);
   return JobId(std::move(id));
 }
 
 TaskIndex require_task_count(const Json& body) {
   const auto count = require_count(body, field::kTasks);
-  if (count == 0 || count > constants::kMaxTasksPerJob) throw Malformed(Fault::out_of_range, field::kTasks);
+  if (count == 0 || count > constants::kMaxTasksPerJob)
+    throw ParseError(ParseErrorCode::out_of_range, field::kTasks);
   return static_cast<TaskIndex>(count);
 }
 
 std::optional<std::vector<std::string>> optional_machine_types(const Json& body) {
-  if (!find(body, field::kMachineTypes)) return std::nullopt;
+  if (!find_field(body, field::kMachineTypes)) return std::nullopt;
   auto types = require_name_list(body, field::kMachineTypes);
-  if (types.empty()) throw Malformed(Fault::out_of_range, field::kMachineTypes);
+  if (types.empty()) throw ParseError(ParseErrorCode::out_of_range, field::kMachineTypes);
   return types;
 }
 
-Json value_or_null(const auto& optional) {
+Json to_json_or_null(const auto& optional) {
   return optional ? Json(*optional) : Json(nullptr);
 }
 
@@ -74,41 +75,41 @@
   return Json{{field::kId, spec.id.value},
               {field::kJobClass, spec.job_class},
               {field::kTeam, spec.team},
-              {field::kJobKind, spelling_of(kJobKinds, spec.kind)},
-              {field::kPriority, spelling_of(kPriorities, spec.priority)},
+              {field::kJobKind, enum_to_text(kJobKinds, spec.kind)},
+              {field::kPriority, enum_to_text(kPriorities, spec.priority)},
               {field::kTasks, spec.task_count},
               {field::kCpus, spec.task_resources.cpus},
               {field::kGpus, spec.task_resources.gpus},
               {field::kMemoryGb, spec.task_resources.memory_gb},
               {field::kImage, spec.image},
               {field::kImageGb, spec.image_gb},
-              {field::kMachineTypes, value_or_null(spec.machine_types)},
-              {field::kZone, value_or_null(spec.zone)},
+              {field::kMachineTypes, to_json_or_null(spec.machine_types)},
+              {field::kZone, to_json_or_null(spec.zone)},
               {field::kSameZone, spec.same_zone},
               {field::kSpread, spec.spread},
               {field::kSpot, spec.spot_allowed},
               {field::kEstimatedRunS, spec.estimated_run_s},
               {field::kCheckpointIntervalS, spec.checkpoint_interval_s},
               {field::kCheckpointDurationS, spec.checkpoint_duration_s},
-              {field::kDeadlineS, value_or_null(spec.deadline_s)}};
+              {field::kDeadlineS, to_json_or_null(spec.deadline_s)}};
 }
 
-std::string_view spelled(JobState state) {
-  return spelling_of(kJobStates, state);
+std::string_view to_string(JobState state) {
+  return enum_to_text(kJobStates, state);
 }
 
-std::optional<JobState> job_state_from(std::string_view text) {
-  return value_of(kJobStates, text);
+std::optional<JobState> job_state_from_string(std::string_view text) {
+  return enum_from_text(kJobStates, text);
 }
 
 Json job_response(const JobId& id, JobState state) {
-  return Json{{field::kId, id.value}, {field::kState, spelled(state)}};
+  return Json{{field::kId, id.value}, {field::kState, to_string(state)}};
 }
 
 Json job_status_response(const JobId& id, const JobStatus& status) {
   auto response = job_response(id, status.state);
-  response[field::kDoneTasks] = status.done;
-  response[field::kRunningTasks] = status.running;
+  response[field::kDoneTasks] = status.done_tasks;
+  response[field::kRunningTasks] = status.running_tasks;
   return response;
 }
 
--- a/src/wire/worker_messages.cpp
+++ b/src/wire/worker_messages.cpp
@@ -22,17 +22,19 @@
 }
 
 TaskId require_task_id(const Json& map) {
-  auto task = parse_task_id(require_text(map, field::kTask));
-  if (!task) throw Malformed(Fault::invalid_format, field::kTask);
+  auto task = task_id_from_string(require_text(map, field::kTask));
+  if (!task) throw ParseError(ParseErrorCode::invalid_format, field::kTask);
   return *std::move(task);
 }
 
-// A state or cause that only a later version of the workers uses must not make the whole heartbeat malformed:
-// without a response the worker's lease would expire. Such a task counts as present, in an unknown state.
-void read_state(const Json& reported, ReportedTask& task) {
-  task.state = value_of(kTaskStates, require_text(reported, field::kState)).value_or(TaskState::unknown);
+// Parses the state and exit cause of a task. An unknown value, e.g. from a newer worker version, does not
+// make the heartbeat invalid, because without a response the worker's lease would expire. The task is then
+// treated as present on the machine, with TaskState::unknown.
+void parse_state_and_cause(const Json& reported, ReportedTask& task) {
+  task.state =
+      enum_from_text(kTaskStates, require_text(reported, field::kState)).value_or(TaskState::unknown);
   if (task.state != TaskState::exited) return;
-  const auto cause = value_of(kExitCauses, require_text(reported, field::kExitCause));
+  const auto cause = enum_from_text(kExitCauses, require_text(reported, field::kExitCause));
   task.cause = cause.value_or(ExitCause::none);
   if (!cause) task.state = TaskState::unknown;
 }
@@ -41,14 +43,14 @@
   ReportedTask task;
   task.task = require_task_id(reported);
   task.attempt = require_count(reported, field::kAttempt);
-  read_state(reported, task);
-  task.saved = flag_or(reported, field::kSaved, false);
+  parse_state_and_cause(reported, task);
+  task.checkpoint_written = flag_or(reported, field::kCheckpointWritten, false);
   return task;
 }
 
 Json to_json(const Command& command) {
-  Json body{{field::kCommandKind, spelling_of(kCommandKinds, command.kind)},
-            {field::kTask, spelled(command.task)},
+  Json body{{field::kCommandKind, enum_to_text(kCommandKinds, command.kind)},
+            {field::kTask, to_string(command.task)},
             {field::kAttempt, command.attempt}};
   if (command.kind == CommandKind::stop) body[field::kGraceS] = command.grace_s;
   return body;
@@ -62,7 +64,7 @@
 
 }  // namespace
 
-std::optional<TaskId> parse_task_id(std::string_view text) {
+std::optional<TaskId> task_id_from_string(std::string_view text) {
   const auto separator = text.find(kTaskIdSeparator);
   if (separator == std::string_view::npos) return std::nullopt;
   const auto job = text.substr(0, separator);
@@ -71,7 +73,7 @@
   return TaskId{JobId(std::string(job)), *index};
 }
 
-std::string spelled(const TaskId& task) {
+std::string to_string(const TaskId& task) {
   return task.job.value + kTaskIdSeparator + std::to_string(task.index);
 }
 
@@ -94,7 +96,8 @@
   return Json{{field::kToken, token.value}, {field::kCommands, to_json(commands)}};
 }
 
-Json direct_commands(FencingToken token, std::uint64_t incarnation, const std::vector<Command>& commands) {
+Json direct_command_request(FencingToken token, std::uint64_t incarnation,
+                            const std::vector<Command>& commands) {
   auto body = heartbeat_response(token, commands);
   body[field::kIncarnation] = incarnation;
   return body;
--- a/src/wire/worker_protocol.hpp
+++ b/src/wire/worker_protocol.hpp
@@ -1,4 +1,4 @@
-// Field names and enum spellings of the interfaces "Workers -> controller nodes" and "Controller nodes ->
+// Field names and enum values of the interfaces "Workers -> controller nodes" and "Controller nodes ->
 // workers" in PROTOCOL.
 #pragma once
 
@@ -9,40 +9,40 @@
 namespace dockdyke::wire::field {
 
 // protocol field -> meaning
-inline constexpr const char* kMachine = "dyke";                  // machine that the worker runs on
-inline constexpr const char* kAddress = "endpoint";              // host and port of the worker
-inline constexpr const char* kIncarnation = "watch";             // session: number of expired leases plus 1
-inline constexpr const char* kSequenceNumber = "tally";          // grows with every message of a worker
-inline constexpr const char* kToken = "warrant";                 // fencing token
-inline constexpr const char* kTerminationNoticeS = "warning_s";  // seconds until a spot instance is taken
-inline constexpr const char* kTask = "piece";                    // task id, "job-000412/3"
-inline constexpr const char* kAttempt = "try";                   // attempt of the task
+inline constexpr const char* kMachine = "dyke";          // machine that the worker runs on
+inline constexpr const char* kAddress = "endpoint";      // host and port of the worker
+inline constexpr const char* kIncarnation = "watch";     // number of expired leases of the worker plus 1
+inline constexpr const char* kSequenceNumber = "tally";  // increases with every message of a worker
+inline constexpr const char* kToken = "warrant";         // fencing token
+inline constexpr const char* kTerminationNoticeS = "warning_s";  // seconds until a spot instance is reclaimed
+inline constexpr const char* kTask = "piece";                    // task id, e.g. "job-000412/3"
+inline constexpr const char* kAttempt = "try";                   // attempt number of the task
 inline constexpr const char* kExitCause = "cause";               // see kExitCauses
-inline constexpr const char* kSaved = "stored";                  // progress of a stopped task was saved
+inline constexpr const char* kCheckpointWritten = "stored";      // a stopped task has written a checkpoint
 inline constexpr const char* kCommands = "orders";               // worker commands
 inline constexpr const char* kCommandKind = "verb";              // see kCommandKinds
-inline constexpr const char* kGraceS = "leeway_s";               // seconds that a stopped task gets to save
-inline constexpr const char* kRedirectHost = "harbour";          // node that the worker should report to
+inline constexpr const char* kGraceS = "leeway_s";       // seconds for writing a checkpoint after a stop
+inline constexpr const char* kRedirectHost = "harbour";  // controller node for the worker's heartbeats
 
 }  // namespace dockdyke::wire::field
 
 namespace dockdyke::wire {
 
-// Values of field::kState of a task. "waiting" came with gangs (docs/design.md, "Gangs").
-inline constexpr EnumTable<TaskState, 5> kTaskStates{{{"pulling", TaskState::fetching},
-                                                      {"waiting", TaskState::waiting},
+// Values of field::kState of a task.
+inline constexpr EnumTable<TaskState, 5> kTaskStates{{{"pulling", TaskState::fetching_image},
+                                                      {"waiting", TaskState::waiting_for_gang},
                                                       {"running", TaskState::running},
-                                                      {"saving", TaskState::saving},
+                                                      {"saving", TaskState::checkpointing},
                                                       {"exited", TaskState::exited}}};
 
-// Values of field::kExitCause. The last two came with gangs.
+// Values of field::kExitCause.
 inline constexpr EnumTable<ExitCause, 8> kExitCauses{{{"done", ExitCause::done},
                                                       {"halted", ExitCause::stopped},
                                                       {"error", ExitCause::error},
-                                                      {"no_room", ExitCause::no_room},
-                                                      {"busy", ExitCause::busy},
-                                                      {"no_such", ExitCause::unknown_job},
-                                                      {"mates_gone", ExitCause::peer_lost},
+                                                      {"no_room", ExitCause::insufficient_capacity},
+                                                      {"busy", ExitCause::attempt_conflict},
+                                                      {"no_such", ExitCause::unknown_task},
+                                                      {"mates_gone", ExitCause::gang_peer_lost},
                                                       {"alone", ExitCause::gang_incomplete}}};
 
 // Values of field::kCommandKind.
--- a/tests/app/controller_test.cpp
+++ b/tests/app/controller_test.cpp
@@ -385,7 +385,7 @@
   wire::Transaction earlier;
   earlier.puts.push_back(
       {"rent/r-7-1", wire::to_json(wire::ScaleOutRequest{ScaleOutId("r-7-1"), "small", "a", true, 2}), {}});
-  earlier.puts.push_back({"return/7-1", wire::machine_names({MachineId("n-77")}), {}});
+  earlier.puts.push_back({"return/7-1", wire::machine_ids_to_json({MachineId("n-77")}), {}});
   state.handle("POST", "/txn", wire::encode(wire::to_json(earlier)));
   auto& controller = start(0);
   ASSERT_TRUE(until([&] {
--- a/tests/core/gang_scheduling_test.cpp
+++ b/tests/core/gang_scheduling_test.cpp
@@ -166,8 +166,8 @@
 
 TEST_F(GangTest, RecordsOfPreviousAttemptsAreDeleted) {
   start_gang();
-  set_task_state(worker_1, TaskState::exited, ExitCause::peer_lost);
-  set_task_state(worker_2, TaskState::exited, ExitCause::peer_lost);
+  set_task_state(worker_1, TaskState::exited, ExitCause::gang_peer_lost);
+  set_task_state(worker_2, TaskState::exited, ExitCause::gang_peer_lost);
   exchange_heartbeat(worker_1);
   send_heartbeat(worker_2);
   send_heartbeat(worker_1);
@@ -196,7 +196,7 @@
 
 TEST_F(GangTest, TaskExitStopsOthersAndNextAttemptWaitsForAll) {
   start_gang();
-  set_task_state(worker_1, TaskState::exited, ExitCause::peer_lost);
+  set_task_state(worker_1, TaskState::exited, ExitCause::gang_peer_lost);
   exchange_heartbeat(worker_1);
   worker_1.tasks.clear();
   send_heartbeat(worker_1);
@@ -273,7 +273,7 @@
 
 TEST_F(GangTest, PeerLossCountsAgainstNeitherMachineNorJob) {
   start_gang();
-  set_task_state(worker_1, TaskState::exited, ExitCause::peer_lost);
+  set_task_state(worker_1, TaskState::exited, ExitCause::gang_peer_lost);
   set_task_state(worker_2, TaskState::exited, ExitCause::gang_incomplete);
   exchange_heartbeat(worker_1);
   exchange_heartbeat(worker_2);
@@ -307,7 +307,7 @@
   assign_and_write();
   receive_response(worker_1);
   receive_response(worker_2);  // n-2 sends no further heartbeats
-  set_task_state(worker_1, TaskState::waiting);
+  set_task_state(worker_1, TaskState::waiting_for_gang);
   const double started_at = now;
   bool stopped = false;
   while (!stopped && now - started_at < cluster_config().gang_assembly_timeout_s) {
--- a/tests/core/safety_test.cpp
+++ b/tests/core/safety_test.cpp
@@ -221,7 +221,7 @@
   complete_loading();
   Worker worker{.name = "n-1", .token = kToken - 10};
   worker.report_task("job-1", 0, 1, wire::TaskState::running);
-  worker.report_task("job-1", 1, 1, wire::TaskState::fetching);
+  worker.report_task("job-1", 1, 1, wire::TaskState::fetching_image);
   EXPECT_EQ(count(exchange_heartbeat(worker), CommandKind::stop), 2u);
 }
 
@@ -385,7 +385,7 @@
     EXPECT_EQ(assignment.attempt, 2u);
   }
   EXPECT_EQ(cluster.job(JobId("job-1"))->assignments.size(), 2u);
-  EXPECT_EQ(cluster.progress(JobId("job-1"))->status.running, 0u)
+  EXPECT_EQ(cluster.progress(JobId("job-1"))->status.running_tasks, 0u)
       << "an assigned task that was not observed does not count as running";
 }
 
--- a/tests/core/scale_requests_test.cpp
+++ b/tests/core/scale_requests_test.cpp
@@ -82,7 +82,7 @@
   std::vector<MachineId> requested;
   std::set<std::string> keys;
   for (const auto& each : take_effects<RequestScaleIn>(effects)) {
-    EXPECT_LE(wire::machine_names(each.machines).dump().size(), config.max_value_bytes);
+    EXPECT_LE(wire::machine_ids_to_json(each.machines).dump().size(), config.max_value_bytes);
     requested.insert(requested.end(), each.machines.begin(), each.machines.end());
     keys.insert(each.key);
     EXPECT_FALSE(each.persisted);
--- a/tests/core/stored_formats_test.cpp
+++ b/tests/core/stored_formats_test.cpp
@@ -115,7 +115,7 @@
   const std::string scale_out = R"({"build":"g8","charter":"r-41-1","count":12,"ebbtide":true,"polder":"a"})";
   EXPECT_EQ(wire::to_json(wire::parse_scale_out_request(Json::parse(scale_out))).dump(), scale_out);
   const std::string machines = R"({"dykes":["n-000231","n-000232"]})";
-  EXPECT_EQ(wire::machine_names(wire::parse_machine_names(Json::parse(machines))).dump(), machines);
+  EXPECT_EQ(wire::machine_ids_to_json(wire::parse_machine_ids(Json::parse(machines))).dump(), machines);
 }
 
 TEST(StoredFormats, MachineTypesAreUnchanged) {
@@ -151,7 +151,7 @@
       "0000";
   const auto statuses = peer::decode_polled(from_hex(encoded_statuses));
   ASSERT_TRUE(statuses);
-  EXPECT_EQ(statuses->at(0).job.running, 13u);
+  EXPECT_EQ(statuses->at(0).job.running_tasks, 13u);
   EXPECT_EQ(statuses->at(1).status, 404);
   EXPECT_EQ(to_hex(peer::encode(*statuses)), encoded_statuses);
 
@@ -200,8 +200,8 @@
   EXPECT_NO_THROW(core::parse_gang_part("gang/job-1/3/0", value));
   for (const char* key :
        {"page/job-1/3/0", "gang/job-1/3", "gang/job-1/x/0", "gang/job-1/3/0x", "gang/job-1/3/1"})
-    EXPECT_THROW(core::parse_gang_part(key, value), wire::Malformed) << key;
-  EXPECT_THROW(core::parse_gang_part("gang/job-1/3/0", Json{{"parts", 1}}), wire::Malformed);
+    EXPECT_THROW(core::parse_gang_part(key, value), wire::ParseError) << key;
+  EXPECT_THROW(core::parse_gang_part("gang/job-1/3/0", Json{{"parts", 1}}), wire::ParseError);
 }
 
 }  // namespace dockdyke::testing
--- a/tests/core/stored_records_test.cpp
+++ b/tests/core/stored_records_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_LE(json.dump().size(), 100u) << "consecutive tasks share a range";
   EXPECT_TRUE(parse_segment(json) == segment);
   for (const char* invalid : {"3-", "5-3", "x", "3,,4", "3/", "0-4294967295"})
-    EXPECT_THROW(parse_segment(Json{{"job-1", {{"d", invalid}}}}), wire::Malformed) << invalid;
+    EXPECT_THROW(parse_segment(Json{{"job-1", {{"d", invalid}}}}), wire::ParseError) << invalid;
 }
 
 TEST(Records, JobRecordRoundTrips) {
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -66,7 +66,7 @@
   std::size_t given_back = 0;
   for (const auto& each : returns) {
     given_back += each.machines.size();
-    EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
+    EXPECT_LE(wire::machine_ids_to_json(each.machines).dump().size(), kLeastBytes);
   }
   EXPECT_GE(given_back, 100u);
   for (const auto& each : emitted_effects<RequestScaleOut>())
@@ -87,7 +87,7 @@
   }
   for (const auto& each : emitted_effects<RequestScaleIn>()) {
     given_back += each.machines.size();
-    EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
+    EXPECT_LE(wire::machine_ids_to_json(each.machines).dump().size(), kLeastBytes);
   }
   EXPECT_EQ(given_back, 110u);
 }
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -20,8 +20,8 @@
   wire::MachineType type;
   type.name = std::move(name);
   type.size = {cpus, 0, cpus * 2};
-  type.cache_gb = 30;
-  type.fetch_gb_per_s = 1;
+  type.image_cache_gb = 30;
+  type.image_fetch_gb_per_s = 1;
   type.price = price;
   type.spot_price = spot_price;
   type.boot_s = 40;
--- a/tests/support/invariants.cpp
+++ b/tests/support/invariants.cpp
@@ -8,7 +8,7 @@
   for (const auto& worker : workers_)
     for (const auto& task : worker->tasks)
       if (task.ref.job.value == id)
-        out += ", " + wire::spelled(task.ref) + " try " + std::to_string(task.attempt) + " " +
+        out += ", " + wire::to_string(task.ref) + " try " + std::to_string(task.attempt) + " " +
                spelled(task.state) + " on " + worker->id + (worker->gone_at ? " (gone)" : "");
   return out;
 }
@@ -19,19 +19,19 @@
 
 void Simulation::started(const SimWorker& here, const HeldTask& task) {
   ++starts_;
-  spdlog::debug("simulation t={:.1f} {} try {} starts on {}", time(), wire::spelled(task.ref), task.attempt,
+  spdlog::debug("simulation t={:.1f} {} try {} starts on {}", time(), wire::to_string(task.ref), task.attempt,
                 here.id);
   const SimJob& job = jobs_.at(task.ref.job.value);
   if (job.cancelled_at &&
       seconds_between(*job.cancelled_at, loop.now()) > options_.config.cancellation_timeout_s)
-    ADD_FAILURE() << "ran_cancelled: " << wire::spelled(task.ref) << " starts";
+    ADD_FAILURE() << "ran_cancelled: " << wire::to_string(task.ref) << " starts";
   wire::Resources used;
   std::map<std::string, std::size_t> zones;
   for (const auto& worker : workers_)
     for (const auto& each : worker->tasks) {
       if (!on(*worker, each)) continue;
       if (each.ref == task.ref && worker.get() != &here)
-        ADD_FAILURE() << "ran_twice: " << wire::spelled(task.ref) << " on " << worker->id << " and "
+        ADD_FAILURE() << "ran_twice: " << wire::to_string(task.ref) << " on " << worker->id << " and "
                       << here.id;
       const auto& other = jobs_.at(each.ref.job.value).spec;
       if (other.team == job.spec.team) used += other.task_resources;
@@ -40,7 +40,7 @@
   for (const auto& team : options_.config.teams)
     if (team.name == job.spec.team && team.quota.cpus > 0 && used.cpus > team.quota.cpus + 1e-6)
       ADD_FAILURE() << "quota: " << team.name << " uses " << used.cpus;
-  if (here.spot && !job.spec.spot_allowed) ADD_FAILURE() << "wrong_place: " << wire::spelled(task.ref);
+  if (here.spot && !job.spec.spot_allowed) ADD_FAILURE() << "wrong_place: " << wire::to_string(task.ref);
   if (job.spec.zone && *job.spec.zone != here.zone) ADD_FAILURE() << "wrong_place: zone";
   if (job.spec.same_zone && zones.size() > 1) ADD_FAILURE() << "wrong_place: two zones";
   const std::size_t most = (static_cast<std::size_t>(job.spec.task_count) + 1) / 2;
@@ -60,7 +60,7 @@
       if (!deadline || !on(*worker, task)) continue;
       const double left_s = seconds_between(loop.now(), *deadline);
       if (left_s < 0)
-        ADD_FAILURE() << "ran_cancelled: " << wire::spelled(task.ref) << " is on " << worker->id << " "
+        ADD_FAILURE() << "ran_cancelled: " << wire::to_string(task.ref) << " is on " << worker->id << " "
                       << -left_s << " s after it had to be gone, t=" << time();
       check_cancelled_task_is_ending(*worker, task, left_s);
     }
@@ -70,11 +70,11 @@
   const auto lease_end = worker.lease_from + net::seconds(options_.config.worker_lease_s);
   for (const auto& task : worker.tasks) {
     const auto deadline = cancellation_deadline(task.ref.job);
-    const bool ending = task.state == wire::TaskState::exited || task.state == wire::TaskState::saving;
+    const bool ending = task.state == wire::TaskState::exited || task.state == wire::TaskState::checkpointing;
     if (!deadline || ending || lease_end <= *deadline) continue;
     ADD_FAILURE() << "an answer under token " << worker.token << " renews the lease of " << worker.id << " "
                   << seconds_between(*deadline, lease_end) << " s beyond the time of the cancelled task "
-                  << wire::spelled(task.ref) << " without a stop for it, t=" << time();
+                  << wire::to_string(task.ref) << " without a stop for it, t=" << time();
   }
 }
 
@@ -91,7 +91,7 @@
   if (left_s < 0 || left_s > kDeletionTimeS || outage_until_ > loop.now()) return;
   const double lease_left_s = options_.config.worker_lease_s - seconds_between(worker.lease_from, loop.now());
   if (lease_left_s <= left_s || deletion_recorded(worker)) return;
-  ADD_FAILURE() << wire::spelled(task.ref) << " is cancelled and on " << worker.id << " with " << left_s
+  ADD_FAILURE() << wire::to_string(task.ref) << " is cancelled and on " << worker.id << " with " << left_s
                 << " s left, its worker's lease lasts for " << lease_left_s
                 << " s, and no deletion is on record, t=" << time();
 }
--- a/tests/support/simulated_workers.cpp
+++ b/tests/support/simulated_workers.cpp
@@ -23,12 +23,12 @@
     worker.changed = true;
   }
   for (auto& task : worker.tasks) {
-    if (task.state == wire::TaskState::fetching && task.image_at <= now) {
+    if (task.state == wire::TaskState::fetching_image && task.image_at <= now) {
       if (worker.results.contains(task.ref)) {
         task.state = wire::TaskState::exited;
         task.cause = "done";
       } else if (is_gang(task)) {
-        task.state = wire::TaskState::waiting;
+        task.state = wire::TaskState::waiting_for_gang;
         task.ends_at = now + net::seconds(options_.config.gang_assembly_timeout_s);
         gangs_.try_emplace({task.ref.job.value, task.attempt});
         started(worker, task);
@@ -39,11 +39,11 @@
         started(worker, task);
       }
       worker.changed = true;
-    } else if (task.state == wire::TaskState::waiting && task.ends_at <= now) {
+    } else if (task.state == wire::TaskState::waiting_for_gang && task.ends_at <= now) {
       task.state = wire::TaskState::exited;
       task.cause = "alone";
       worker.changed = true;
-    } else if (task.state == wire::TaskState::saving && !is_gang(task) && task.ends_at <= now) {
+    } else if (task.state == wire::TaskState::checkpointing && !is_gang(task) && task.ends_at <= now) {
       task.state = wire::TaskState::exited;
       task.cause = "halted";
       task.stored = true;
@@ -86,7 +86,7 @@
       return static_cast<std::size_t>(std::count_if(
           tasks.begin(), tasks.end(), [&](const auto& each) { return each.second->state == state; }));
     };
-    if (!gang.started && in_state(wire::TaskState::waiting) == job.spec.task_count) {
+    if (!gang.started && in_state(wire::TaskState::waiting_for_gang) == job.spec.task_count) {
       gang.started = true;
       gang.ends_at = loop.now() + net::seconds(job.spec.estimated_run_s * random(0.8, 1.2));
       ++gang_starts_;
@@ -107,7 +107,7 @@
     if (!whole && !gang.aborted_at) gang.aborted_at = loop.now();
     if (!gang.aborted_at) continue;
     for (auto& [worker, task] : tasks)
-      if ((task->state == wire::TaskState::running || task->state == wire::TaskState::saving) &&
+      if ((task->state == wire::TaskState::running || task->state == wire::TaskState::checkpointing) &&
           seconds_between(*gang.aborted_at, loop.now()) >=
               random(0.3, 1) * options_.config.gang_peer_timeout_s)
         change(*worker, *task, wire::TaskState::exited, "mates_gone");
@@ -118,7 +118,7 @@
                            const wire::JobSpec& spec) {
   const auto saving =
       static_cast<std::size_t>(std::count_if(tasks.begin(), tasks.end(), [](const auto& each) {
-        return each.second->state == wire::TaskState::saving;
+        return each.second->state == wire::TaskState::checkpointing;
       }));
   const double since_s = seconds_between(*gang.told_at, loop.now());
   if (saving == spec.task_count && since_s >= spec.checkpoint_duration_s) {
@@ -144,13 +144,13 @@
 
 const char* Simulation::spelled(wire::TaskState state) {
   switch (state) {
-    case wire::TaskState::fetching:
+    case wire::TaskState::fetching_image:
       return "pulling";
     case wire::TaskState::running:
       return "running";
-    case wire::TaskState::saving:
+    case wire::TaskState::checkpointing:
       return "saving";
-    case wire::TaskState::waiting:
+    case wire::TaskState::waiting_for_gang:
       return "waiting";
     case wire::TaskState::unknown:
     case wire::TaskState::exited:
@@ -168,7 +168,7 @@
   const auto incarnation = worker->incarnation;
   Json tasks = Json::array();
   for (const auto& task : worker->tasks) {
-    Json each{{"piece", wire::spelled(task.ref)}, {"try", task.attempt}, {"stage", spelled(task.state)}};
+    Json each{{"piece", wire::to_string(task.ref)}, {"try", task.attempt}, {"stage", spelled(task.state)}};
     if (task.state == wire::TaskState::exited) each["cause"] = task.cause;
     if (task.stored) each["stored"] = true;
     tasks.push_back(std::move(each));
@@ -242,21 +242,21 @@
 void Simulation::stop_task(HeldTask& task, double leeway_s) {
   const auto& spec = jobs_.at(task.ref.job.value).spec;
   if (task.state == wire::TaskState::exited) return;
-  if (task.state == wire::TaskState::saving && leeway_s > 0) return;
+  if (task.state == wire::TaskState::checkpointing && leeway_s > 0) return;
   const bool saves = task.state == wire::TaskState::running && spec.checkpoint_interval_s > 0 &&
                      leeway_s >= spec.checkpoint_duration_s;
   if (saves && is_gang(task)) {
     auto& gang = gangs_.at({task.ref.job.value, task.attempt});
     if (!gang.told_at) gang.told_at = loop.now();
   }
-  task.state = saves ? wire::TaskState::saving : wire::TaskState::exited;
+  task.state = saves ? wire::TaskState::checkpointing : wire::TaskState::exited;
   if (saves) task.ends_at = loop.now() + net::seconds(spec.checkpoint_duration_s);
   if (!saves) task.cause = "halted";
 }
 
 void Simulation::obey(SimWorker& worker, const Json& command) {
   const std::string kind = command.at("verb");
-  const auto ref = wire::parse_task_id(command.at("piece").get<std::string>());
+  const auto ref = wire::task_id_from_string(command.at("piece").get<std::string>());
   const auto attempt = command.at("try").get<std::uint64_t>();
   ASSERT_TRUE(ref && jobs_.contains(ref->job.value)) << "invented: " << command.dump();
   auto held = std::find_if(worker.tasks.begin(), worker.tasks.end(),
@@ -271,8 +271,8 @@
     return;
   }
   if (held != worker.tasks.end()) return;
-  HeldTask task{*ref, attempt, wire::TaskState::fetching, {}, loop.now() + net::seconds(random(0.2, 1.5)),
-                {}};
+  HeldTask task{
+      *ref, attempt, wire::TaskState::fetching_image, {}, loop.now() + net::seconds(random(0.2, 1.5)), {}};
   wire::Resources used;
   bool busy = false;
   for (const auto& each : worker.tasks) {
--- a/tests/support/simulation_types.hpp
+++ b/tests/support/simulation_types.hpp
@@ -54,14 +54,14 @@
 struct HeldTask {
   wire::TaskId ref;
   std::uint64_t attempt = 0;
-  wire::TaskState state = wire::TaskState::fetching;
+  wire::TaskState state = wire::TaskState::fetching_image;
   std::string cause;
   net::TimePoint image_at;
   net::TimePoint ends_at;
   bool stored = false;
   bool on_machine() const {
-    return state == wire::TaskState::running || state == wire::TaskState::saving ||
-           state == wire::TaskState::waiting;
+    return state == wire::TaskState::running || state == wire::TaskState::checkpointing ||
+           state == wire::TaskState::waiting_for_gang;
   }
 };
 
--- a/tests/wire/messages_test.cpp
+++ b/tests/wire/messages_test.cpp
@@ -1,4 +1,4 @@
-// Encoding of bodies, and messages that are valid, malformed or from a later version.
+// Tests the MessagePack codec and the parsing of valid, invalid and newer messages.
 #include "wire/messages.hpp"
 
 #include <gtest/gtest.h>
@@ -17,12 +17,11 @@
 
 namespace {
 
-Json submission() {
+Json make_submission() {
   return wire::to_json(job_spec("job-000412", 16));
 }
 
-// A heartbeat with the given tasks.
-Json heartbeat_with(Json tasks) {
+Json make_heartbeat(Json tasks) {
   return Json{{"dyke", "n-1"},        {"endpoint", "10.1.0.1:9000"},
               {"build", "g8"},        {"polder", "a"},
               {"ebbtide", true},      {"watch", 1},
@@ -30,47 +29,46 @@
               {"warning_s", nullptr}, {"pieces", std::move(tasks)}};
 }
 
-// The error that parsing a body throws.
+// Returns the error thrown by `parse`, or a ParseError without a field if it throws none.
 template <class Parse>
-wire::Malformed error_of(Parse parse, const Json& body) {
+wire::ParseError catch_parse_error(Parse parse, const Json& body) {
   try {
     parse(body);
-  } catch (const wire::Malformed& error) {
+  } catch (const wire::ParseError& error) {
     return error;
   }
-  return wire::Malformed("no error");
+  return wire::ParseError("no error");
 }
 
-// A submission with one field changed.
-Json submission_with(const char* field, Json value) {
-  auto body = submission();
+Json make_submission_with(const char* field, Json value) {
+  auto body = make_submission();
   body[field] = std::move(value);
   return body;
 }
 
 }  // namespace
 
-TEST(Codec, EveryTruncationOfABodyIsRefused) {
-  const auto whole = wire::encode(submission());
-  ASSERT_TRUE(wire::decode(whole));
-  for (std::size_t size = 0; size < whole.size(); ++size)
-    EXPECT_FALSE(wire::decode(whole.substr(0, size))) << size;
-  EXPECT_FALSE(wire::decode(whole + "\x01"));
+TEST(Codec, TruncatedOrExtendedBodyIsRejected) {
+  const auto encoded = wire::encode(make_submission());
+  ASSERT_TRUE(wire::decode(encoded));
+  for (std::size_t size = 0; size < encoded.size(); ++size)
+    EXPECT_FALSE(wire::decode(encoded.substr(0, size))) << size;
+  EXPECT_FALSE(wire::decode(encoded + "\x01"));
 }
 
-TEST(Codec, DeepNestingIsRefused) {
+TEST(Codec, TooDeepNestingIsRejected) {
   EXPECT_FALSE(wire::decode(std::string(60'000, '\x91')));
   EXPECT_FALSE(wire::decode("\xdd\xff\xff\xff\xff"));
 }
 
-TEST(Codec, BinaryDataExtensionsAndKeysThatAreNotTextAreRefused) {
+TEST(Codec, BinaryDataExtensionsAndNonStringKeysAreRejected) {
   EXPECT_FALSE(wire::decode(std::string("\xc4\x01x", 3)));
   EXPECT_FALSE(wire::decode(std::string("\xd4\x01x", 3)));
-  EXPECT_FALSE(wire::decode(std::string("\x81\x01\x02", 3))) << "a key that is no text";
+  EXPECT_FALSE(wire::decode(std::string("\x81\x01\x02", 3))) << "key that is not a string";
   EXPECT_FALSE(wire::decode("\xc1"));
 }
 
-TEST(Codec, JobIsTheSameAfterEncodingAndDecoding) {
+TEST(Codec, JobSpecRoundTripsUnchanged) {
   auto spec = job_spec("job-000412", 16);
   spec.machine_types = std::vector<std::string>{"g8"};
   spec.zone = "a";
@@ -80,8 +78,8 @@
   EXPECT_EQ(wire::to_json(wire::parse_job(*body)), wire::to_json(spec));
 }
 
-TEST(Codec, IntegersMayBeWrittenAsDecimalsAndDecimalsAsIntegers) {
-  auto body = submission();
+TEST(JobSpecParsing, IntegersAndFloatsAreInterchangeable) {
+  auto body = make_submission();
   body["pieces"] = 16.0;
   body["vcpus"] = 8;
   const auto spec = wire::parse_job(body);
@@ -89,8 +87,8 @@
   EXPECT_EQ(spec.task_resources.cpus, 8.0);
 }
 
-TEST(Codec, InvalidFieldsOfASubmissionAreRefused) {
-  const std::vector<std::pair<const char*, Json>> wrong = {
+TEST(JobSpecParsing, InvalidFieldValuesAreRejected) {
+  const std::vector<std::pair<const char*, Json>> invalid_fields = {
       {"id", "job-"},
       {"id", "task-1"},
       {"id", "job-12x"},
@@ -117,118 +115,126 @@
       {"due_s", -5},
       {"hull", ""},
       {"crew", std::string(300, 'x')}};
-  for (const auto& [field, value] : wrong) {
-    auto body = submission();
+  for (const auto& [field, value] : invalid_fields) {
+    auto body = make_submission();
     body[field] = value;
-    EXPECT_THROW(wire::parse_job(body), wire::Malformed) << field << " = " << value.dump();
+    EXPECT_THROW(wire::parse_job(body), wire::ParseError) << field << " = " << value.dump();
   }
-  EXPECT_THROW(wire::parse_job(Json::array()), wire::Malformed);
-  auto fine = submission();
-  fine["unknown"] = Json::array({1, 2});
-  fine.erase("builds");
-  fine.erase("due_s");
-  EXPECT_NO_THROW(wire::parse_job(fine));
-}
-
-TEST(Codec, SubmissionThatLacksAnyRequiredFieldIsRefused) {
-  const std::set<std::string> may_lack = {"builds", "polder", "due_s"};  // those that may be null
-  const auto whole = submission();
-  ASSERT_GE(whole.size(), 19u);
-  for (const auto& [field, value] : whole.items()) {
-    auto body = whole;
+  EXPECT_THROW(wire::parse_job(Json::array()), wire::ParseError);
+  auto valid = make_submission();
+  valid["unknown"] = Json::array({1, 2});
+  valid.erase("builds");
+  valid.erase("due_s");
+  EXPECT_NO_THROW(wire::parse_job(valid));
+}
+
+TEST(JobSpecParsing, MissingRequiredFieldIsRejected) {
+  const std::set<std::string> optional_fields = {"builds", "polder", "due_s"};
+  const auto complete = make_submission();
+  ASSERT_GE(complete.size(), 19u);
+  for (const auto& [field, value] : complete.items()) {
+    auto body = complete;
     body.erase(field);
-    if (may_lack.contains(field)) {
+    if (optional_fields.contains(field)) {
       EXPECT_NO_THROW(wire::parse_job(body)) << field;
     } else {
-      EXPECT_THROW(wire::parse_job(body), wire::Malformed) << field;
+      EXPECT_THROW(wire::parse_job(body), wire::ParseError) << field;
     }
   }
 }
 
-TEST(Codec, GangIsReadAndWrittenLikeAnyJob) {
-  auto body = submission();
+TEST(JobSpecParsing, GangKindRoundTrips) {
+  auto body = make_submission();
   body["shape"] = "group";
   const auto spec = wire::parse_job(body);
   EXPECT_EQ(spec.kind, wire::JobKind::gang);
   EXPECT_EQ(wire::to_json(spec)["shape"], "group");
 }
 
-// If the whole heartbeat were refused because of one unknown value, the worker's lease would expire. The task
-// counts as present, in an unknown state.
-TEST(Codec, HeartbeatWithAnUnknownStateIsReadAndTheTaskCountsAsPresent) {
-  EXPECT_EQ(wire::parse_heartbeat(heartbeat_with(Json::array())).sequence_number, 8u);
-  const auto only_task = [](Json task) {
-    return wire::parse_heartbeat(heartbeat_with(Json::array({std::move(task)}))).tasks.at(0);
+// Rejecting the whole heartbeat because of one unknown value would let the worker's lease expire.
+TEST(HeartbeatParsing, UnknownStateOrExitCauseYieldsUnknownState) {
+  EXPECT_EQ(wire::parse_heartbeat(make_heartbeat(Json::array())).sequence_number, 8u);
+  const auto parse_single_task = [](Json task) {
+    return wire::parse_heartbeat(make_heartbeat(Json::array({std::move(task)}))).tasks.at(0);
   };
-  const auto sleeping = only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "sleeping"}});
-  EXPECT_EQ(sleeping.state, wire::TaskState::unknown);
-  const auto bored = only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}, {"cause", "bored"}});
-  EXPECT_EQ(bored.state, wire::TaskState::unknown);
-  const auto waiting = only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "waiting"}});
-  EXPECT_EQ(waiting.state, wire::TaskState::waiting);
-  const auto alone = only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}, {"cause", "alone"}});
-  EXPECT_EQ(alone.cause, wire::ExitCause::gang_incomplete);
-  const auto left =
-      only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}, {"cause", "mates_gone"}});
-  EXPECT_EQ(left.cause, wire::ExitCause::peer_lost);
-  EXPECT_THROW(only_task({{"piece", "job-1/3"}, {"try", 2}}), wire::Malformed);
-  EXPECT_THROW(only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", 7}}), wire::Malformed);
-  EXPECT_THROW(only_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}}), wire::Malformed);
-}
-
-TEST(MalformedErrors, NameTheFieldAndWhatIsWrongWithIt) {
-  using wire::Fault;
+  const auto unknown_state = parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "sleeping"}});
+  EXPECT_EQ(unknown_state.state, wire::TaskState::unknown);
+  const auto unknown_cause =
+      parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}, {"cause", "bored"}});
+  EXPECT_EQ(unknown_cause.state, wire::TaskState::unknown);
+  const auto waiting_task = parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "waiting"}});
+  EXPECT_EQ(waiting_task.state, wire::TaskState::waiting_for_gang);
+  const auto incomplete_gang =
+      parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}, {"cause", "alone"}});
+  EXPECT_EQ(incomplete_gang.cause, wire::ExitCause::gang_incomplete);
+  const auto lost_gang_peer =
+      parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}, {"cause", "mates_gone"}});
+  EXPECT_EQ(lost_gang_peer.cause, wire::ExitCause::gang_peer_lost);
+  EXPECT_THROW(parse_single_task({{"piece", "job-1/3"}, {"try", 2}}), wire::ParseError);
+  EXPECT_THROW(parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", 7}}), wire::ParseError);
+  EXPECT_THROW(parse_single_task({{"piece", "job-1/3"}, {"try", 2}, {"stage", "exited"}}), wire::ParseError);
+}
+
+TEST(ParseErrors, ContainFieldAndErrorCode) {
+  using wire::ParseErrorCode;
   struct Case {
     const char* field;
     Json value;
-    Fault fault;
+    ParseErrorCode code;
   };
-  const std::vector<Case> cases = {
-      {"id", "task-1", Fault::invalid_format},  {"id", 7, Fault::wrong_type},
-      {"shape", "pair", Fault::unknown_value},  {"urgency", nullptr, Fault::missing},
-      {"pieces", 100'001, Fault::out_of_range}, {"pieces", 1.5, Fault::out_of_range},
-      {"pieces", "16", Fault::wrong_type},      {"vcpus", 1e10, Fault::out_of_range},
-      {"builds", "g8", Fault::wrong_type},      {"builds", Json::array(), Fault::out_of_range},
-      {"spread", 1, Fault::wrong_type},         {"polder", "", Fault::out_of_range}};
-  for (const auto& [field, value, fault] : cases) {
-    const auto error = error_of(wire::parse_job, submission_with(field, value));
+  const std::vector<Case> cases = {{"id", "task-1", ParseErrorCode::invalid_format},
+                                   {"id", 7, ParseErrorCode::wrong_type},
+                                   {"shape", "pair", ParseErrorCode::unknown_value},
+                                   {"urgency", nullptr, ParseErrorCode::missing},
+                                   {"pieces", 100'001, ParseErrorCode::out_of_range},
+                                   {"pieces", 1.5, ParseErrorCode::out_of_range},
+                                   {"pieces", "16", ParseErrorCode::wrong_type},
+                                   {"vcpus", 1e10, ParseErrorCode::out_of_range},
+                                   {"builds", "g8", ParseErrorCode::wrong_type},
+                                   {"builds", Json::array(), ParseErrorCode::out_of_range},
+                                   {"spread", 1, ParseErrorCode::wrong_type},
+                                   {"polder", "", ParseErrorCode::out_of_range}};
+  for (const auto& [field, value, code] : cases) {
+    const auto error = catch_parse_error(wire::parse_job, make_submission_with(field, value));
     EXPECT_EQ(error.field(), field) << value.dump();
-    EXPECT_EQ(error.fault(), fault) << field << " = " << value.dump();
+    EXPECT_EQ(error.code(), code) << field << " = " << value.dump();
   }
-  EXPECT_STREQ(error_of(wire::parse_job, submission_with("crew", 7)).what(), "crew: wrong type");
+  EXPECT_STREQ(catch_parse_error(wire::parse_job, make_submission_with("crew", 7)).what(),
+               "crew: wrong type");
 }
 
-TEST(MalformedErrors, NameTheItemOfAList) {
-  const auto bad_type = error_of(wire::parse_job, submission_with("builds", Json::array({"g8", 1})));
-  EXPECT_STREQ(bad_type.what(), "builds[1]: wrong type");
+TEST(ParseErrors, ContainPathOfListItem) {
+  const auto wrong_type =
+      catch_parse_error(wire::parse_job, make_submission_with("builds", Json::array({"g8", 1})));
+  EXPECT_STREQ(wrong_type.what(), "builds[1]: wrong type");
 
   const Json valid_task{{"piece", "job-1/3"}, {"try", 2}, {"stage", "running"}};
   auto without_attempt = valid_task;
   without_attempt.erase("try");
   const auto missing =
-      error_of(wire::parse_heartbeat, heartbeat_with(Json::array({valid_task, without_attempt})));
+      catch_parse_error(wire::parse_heartbeat, make_heartbeat(Json::array({valid_task, without_attempt})));
   EXPECT_STREQ(missing.what(), "pieces[1].try: missing");
   EXPECT_EQ(missing.field(), "pieces[1].try");
-  EXPECT_EQ(missing.fault(), wire::Fault::missing);
+  EXPECT_EQ(missing.code(), wire::ParseErrorCode::missing);
 
-  const auto no_map = error_of(wire::parse_heartbeat, heartbeat_with(Json::array({7})));
-  EXPECT_STREQ(no_map.what(), "pieces[0]: not a map");
+  const auto not_a_map = catch_parse_error(wire::parse_heartbeat, make_heartbeat(Json::array({7})));
+  EXPECT_STREQ(not_a_map.what(), "pieces[0]: not a map");
 }
 
-TEST(MalformedErrors, OfABodyThatIsNoMapNameNoField) {
-  const auto error = error_of(wire::parse_heartbeat, Json::array());
+TEST(ParseErrors, NonMapBodyYieldsEmptyField) {
+  const auto error = catch_parse_error(wire::parse_heartbeat, Json::array());
   EXPECT_EQ(error.field(), "");
   EXPECT_STREQ(error.what(), "not a map");
 }
 
-TEST(CloudMessages, OnlyTheStatedErrorMeansThatThereIsNoCapacity) {
+TEST(CloudMessages, OnlyNoCapacityErrorIsDetectedAsSuch) {
   EXPECT_TRUE(wire::is_no_capacity_error(Json{{"error", "no capacity"}}));
-  EXPECT_FALSE(wire::is_no_capacity_error(Json{{"error", "trouble"}})) << "an outage";
+  EXPECT_FALSE(wire::is_no_capacity_error(Json{{"error", "trouble"}})) << "error of an outage";
   EXPECT_FALSE(wire::is_no_capacity_error(Json::object()));
   EXPECT_FALSE(wire::is_no_capacity_error(Json("no capacity")));
 }
 
-TEST(RequestPaths, AreThoseOfTheProtocol) {
+TEST(RequestPaths, MatchProtocol) {
   EXPECT_EQ(wire::path::machine_page("", 500), "/machines?page=500");
   EXPECT_EQ(wire::path::machine_page("n-000230", 500), "/machines?page=500&since=n-000230");
   EXPECT_EQ(wire::path::key("a/b c%"), "/store/a/b%20c%25");
