--- a/src/app/cancellation_handler.cpp
+++ b/src/app/cancellation_handler.cpp
@@ -36,12 +36,13 @@
     if (job.outcome != Outcome::ok) co_return service_unavailable();
     if (is_terminal(job.status.state) || !job.active_record)
       co_return msgpack_response(http_status::kOk, wire::job_response(id, job.status.state));
-    auto transaction = core::cancellation_transaction(*job.active_record, job.active_version, job.status.done,
-                                                      loop_.time_of_day_ms(), config_.max_value_bytes);
+    auto transaction =
+        core::cancellation_transaction(*job.active_record, job.active_version, job.status.done_tasks,
+                                       loop_.time_of_day_ms(), config_.max_value_bytes);
     store::Result<store::CommitResult> committed =
         co_await state_client_.commit(std::move(transaction), store::RequestPriority::high, deadline);
     if (committed) {
-      publish_cancellation(id, job.status.done);
+      publish_cancellation(id, job.status.done_tasks);
       co_return msgpack_response(http_status::kOk, wire::job_response(id, JobState::cancelled));
     }
     // After a conflict or an unknown outcome the job is read again and the transaction is retried. All other
--- a/src/app/record_loader.hpp
+++ b/src/app/record_loader.hpp
@@ -32,7 +32,7 @@
   net::Task<std::optional<LoadedRecords>> load();
 
  private:
-  // Converts a record to an event; throws wire::Malformed.
+  // Converts a record to an event; throws wire::ParseError.
   using Parser = std::function<core::Event(const wire::KeyValue&)>;
 
   net::Task<std::optional<LoadedRecords>> try_load();
--- a/src/cloud/cloud_client.cpp
+++ b/src/cloud/cloud_client.cpp
@@ -89,12 +89,12 @@
   ServiceResponse response = co_await call(std::move(http_request), RequestPriority::high);
   if (is_no_capacity_response(response))
     co_return net::failure<MachineIds>(Outcome::no_capacity, std::move(response.call));
-  co_return parse_cloud_response<MachineIds>(std::move(response), wire::parse_machine_names);
+  co_return parse_cloud_response<MachineIds>(std::move(response), wire::parse_machine_ids);
 }
 
 net::Task<Outcome> CloudClient::delete_machines(std::vector<MachineId> machines) {
-  ServiceRequest request{"POST", std::string(wire::path::kDelete),
-                         wire::encode(wire::machine_names(machines))};
+  ServiceRequest request{"POST", std::string(wire::path::kMachineDeletion),
+                         wire::encode(wire::machine_ids_to_json(machines))};
   ServiceResponse response = co_await call(std::move(request), RequestPriority::high);
   co_return outcome_of(response);
 }
--- a/src/store/service_call.hpp
+++ b/src/store/service_call.hpp
@@ -11,7 +11,7 @@
 #include "net/result.hpp"
 #include "net/task.hpp"
 #include "wire/codec.hpp"
-#include "wire/malformed.hpp"
+#include "wire/parse_error.hpp"
 
 namespace dockdyke::store {
 
@@ -50,7 +50,7 @@
     return net::failure<T>(outcome, std::move(response.call));
   try {
     return net::Result<T>{net::Outcome::ok, parse(*response.body), std::nullopt};
-  } catch (const wire::Malformed&) {
+  } catch (const wire::ParseError&) {
     return net::failure<T>(net::Outcome::unknown, std::move(response.call));
   }
 }
--- a/src/store/state_client.cpp
+++ b/src/store/state_client.cpp
@@ -60,7 +60,7 @@
   Result<CommitResult> result = net::failure<CommitResult>(Outcome::conflict, std::move(response.call));
   try {
     result.value.failed_preconditions = wire::parse_failed_preconditions(*response.body);
-  } catch (const wire::Malformed&) {
+  } catch (const wire::ParseError&) {
     result.value.failed_preconditions.clear();
   }
   return result;
@@ -160,7 +160,7 @@
   ServiceRequest request{"POST", std::string(wire::path::kLeases), wire::encode(wire::lease_request(ttl_ms))};
   ServiceResponse response =
       co_await call(std::move(request), net::seconds(constants::kStateCallTimeoutSeconds));
-  co_return parse_state_response<LeaseId>(std::move(response), wire::parse_lease);
+  co_return parse_state_response<LeaseId>(std::move(response), wire::parse_lease_id);
 }
 
 net::Task<Outcome> StateClient::renew_lease(LeaseId lease) {
--- a/tests/app/controller_test.cpp
+++ b/tests/app/controller_test.cpp
@@ -393,7 +393,7 @@
   wire::Transaction stored_requests;
   stored_requests.puts.push_back(
       {"rent/r-7-1", wire::to_json(wire::ScaleOutRequest{ScaleOutId("r-7-1"), "small", "a", true, 2}), {}});
-  stored_requests.puts.push_back({"return/7-1", wire::machine_names({MachineId("n-77")}), {}});
+  stored_requests.puts.push_back({"return/7-1", wire::machine_ids_to_json({MachineId("n-77")}), {}});
   state.handle("POST", "/txn", wire::encode(wire::to_json(stored_requests)));
   auto& controller = start_controller(0);
   ASSERT_TRUE(run_until([&] {
