--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -129,7 +129,7 @@
     const auto& latencies = submissions_.latencies();
     spdlog::info("event=user_requests submissions={} p50_s={:.3f} p95_s={:.3f} connections={}",
                  latencies.count(), latencies.quantile(0.5), latencies.quantile(0.95),
-                 public_server_ ? public_server_->connections() : 0);
+                 public_server_ ? public_server_->connection_count() : 0);
   }
 }
 
--- a/src/app/response_holds.cpp
+++ b/src/app/response_holds.cpp
@@ -38,7 +38,8 @@
     const std::optional<bool> ready = co_await released.wait_until(until);
     if (ready) continue;
     // A newer heartbeat of the machine may have replaced the entry during the wait.
-    if (const auto entry = held_.find(machine); entry != held_.end() && entry->second.same(released))
+    if (const auto entry = held_.find(machine);
+        entry != held_.end() && entry->second.shares_state_with(released))
       held_.erase(entry);
   }
 }
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -1,4 +1,4 @@
-// The clock of the event loop.
+// The clock that the event loop uses.
 #pragma once
 
 #include <chrono>
@@ -9,10 +9,10 @@
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
 
-// Seconds as a duration, rounded up: a timer that is early by a fraction of a nanosecond finds nothing due
-// and is set for no time at all, for ever.
-inline Duration seconds(double amount) {
-  return std::chrono::ceil<Duration>(std::chrono::duration<double>(amount));
+// Converts seconds to a Duration, rounding up. A timer that fired slightly too early would find nothing due
+// and be set again with a delay of zero, in an endless loop.
+inline Duration seconds(double value) {
+  return std::chrono::ceil<Duration>(std::chrono::duration<double>(value));
 }
 
 }  // namespace dockdyke::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -14,27 +14,28 @@
 
 namespace {
 
-// Simulated time does not begin at zero, so that times in the past can be told from none.
+// Simulated time does not start at zero, so that a default-constructed TimePoint lies in the past.
 constexpr auto kSimulatedStart = std::chrono::hours(1);
 
 }  // namespace
 
-Loop::Loop(Time time)
-    : time_(time),
+Loop::Loop(TimeSource time_source)
+    : time_source_(time_source),
       epoll_(::epoll_create1(EPOLL_CLOEXEC)),
-      now_(time == Time::real ? Clock::now() : TimePoint(kSimulatedStart)) {
+      now_(time_source == TimeSource::real ? Clock::now() : TimePoint(kSimulatedStart)) {
   if (!epoll_.valid()) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
 Loop::~Loop() = default;
 
 std::int64_t Loop::time_of_day_ms() const {
-  const auto since_epoch =
-      time_ == Time::real ? std::chrono::system_clock::now().time_since_epoch() : now_.time_since_epoch();
+  const auto since_epoch = time_source_ == TimeSource::real
+                               ? std::chrono::system_clock::now().time_since_epoch()
+                               : now_.time_since_epoch();
   return std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count();
 }
 
-Loop::TimerKey Loop::at(TimePoint due, std::function<void()> action) {
+Loop::TimerKey Loop::call_at(TimePoint due, std::function<void()> action) {
   const TimerKey key{due, next_timer_number_++};
   timers_.emplace(key, std::move(action));
   return key;
@@ -55,12 +56,12 @@
 }
 
 void Loop::run() {
-  while (!stopping_) turn(constants::kMaxPollWait);
+  while (!stopping_) run_once(constants::kMaxPollWait);
 }
 
-void Loop::turn(Duration limit) {
-  const Duration wait = time_to_wait(limit);
-  if (time_ == Time::real) {
+void Loop::run_once(Duration max_wait) {
+  const Duration wait = poll_timeout(max_wait);
+  if (time_source_ == TimeSource::real) {
     poll_events(wait);
   } else {
     now_ += wait;
@@ -69,10 +70,10 @@
   resume_ready();
 }
 
-Duration Loop::time_to_wait(Duration limit) const {
+Duration Loop::poll_timeout(Duration max_wait) const {
   if (!ready_.empty()) return Duration::zero();
-  if (timers_.empty()) return limit;
-  return std::min(limit, std::max(Duration::zero(), timers_.begin()->first.due - now_));
+  if (timers_.empty()) return max_wait;
+  return std::min(max_wait, std::max(Duration::zero(), timers_.begin()->first.due - now_));
 }
 
 void Loop::run_due_timers() {
@@ -84,39 +85,39 @@
 }
 
 void Loop::resume_ready() {
-  // Those that become ready meanwhile wait for the next turn, so that events and timers get theirs. The queue
-  // becomes shorter than expected when a coroutine destroys others that were ready.
-  for (auto pending = ready_.size(); pending > 0 && !ready_.empty(); --pending) {
+  // Coroutines that become ready during this loop run in the next iteration, so that they cannot starve
+  // events and timers. The queue can shrink further when a resumed coroutine destroys others that were ready.
+  for (auto remaining = ready_.size(); remaining > 0 && !ready_.empty(); --remaining) {
     auto next = ready_.front();
     ready_.pop_front();
     next.resume();
   }
 }
 
-void Loop::poll_events(Duration limit) {
-  // Rounded up: waking a fraction of a millisecond early would only cost another turn.
-  const auto wait_ms = std::chrono::ceil<std::chrono::milliseconds>(limit).count();
+void Loop::poll_events(Duration timeout) {
+  // Rounded up, because waking a fraction of a millisecond early would only cost another iteration.
+  const auto timeout_ms = std::chrono::ceil<std::chrono::milliseconds>(timeout).count();
   std::array<epoll_event, constants::kMaxEventsPerIteration> events;
-  const int count =
-      ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()), static_cast<int>(wait_ms));
+  const int count = ::epoll_wait(epoll_.get(), events.data(), static_cast<int>(events.size()),
+                                 static_cast<int>(timeout_ms));
   now_ = Clock::now();
-  // A negative count is an interrupted wait: nothing to dispatch.
+  // The count is negative if the wait was interrupted; there is nothing to dispatch then.
   for (int i = 0; i < count; ++i) dispatch(events[static_cast<std::size_t>(i)]);
 }
 
 void Loop::dispatch(const epoll_event& event) {
   const int fd = event.data.fd;
   const auto found = attached_.find(fd);
-  if (found == attached_.end()) return;  // closed by an earlier event of this turn
+  if (found == attached_.end()) return;  // closed by an earlier event of this iteration
   Readiness* const readiness = found->second;
-  const bool broken = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
-  if (broken || (event.events & (EPOLLIN | EPOLLRDHUP))) readiness->readable = true;
-  if (broken || (event.events & EPOLLOUT)) readiness->writable = true;
+  const bool error_or_hangup = (event.events & (EPOLLERR | EPOLLHUP)) != 0;
+  if (error_or_hangup || (event.events & (EPOLLIN | EPOLLRDHUP))) readiness->readable = true;
+  if (error_or_hangup || (event.events & EPOLLOUT)) readiness->writable = true;
   if (readiness->readable && readiness->on_readable) {
     std::exchange(readiness->on_readable, {})();
-    // The coroutine that was resumed may have closed the descriptor, and another one may have its number now.
-    const auto again = attached_.find(fd);
-    if (again == attached_.end() || again->second != readiness) return;
+    // The callback may have closed the descriptor, and a new descriptor may have the same number.
+    const auto current = attached_.find(fd);
+    if (current == attached_.end() || current->second != readiness) return;
   }
   if (readiness->writable && readiness->on_writable) std::exchange(readiness->on_writable, {})();
 }
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,4 +1,4 @@
-// The event loop: one thread, epoll, timers and a queue of coroutines that are ready to be resumed.
+// A single-threaded event loop with epoll, timers and a queue of coroutines that are ready to resume.
 #pragma once
 
 #include <compare>
@@ -16,76 +16,75 @@
 
 namespace dockdyke::net {
 
-// The readiness of one descriptor. Edge-triggered: a flag stays set until whoever uses the descriptor finds
-// that a call would block, and clears it. At most one coroutine waits for each direction.
+// The readiness of one descriptor. Events are edge-triggered: a flag stays set until the user of the
+// descriptor clears it after a call that would block. At most one coroutine waits for each direction.
 struct Readiness {
   bool readable = false;
   bool writable = false;
-  // Called once, when the flag is set, and then cleared.
+  // Called once when the flag is set; the loop clears the callback before it calls it.
   std::function<void()> on_readable;
   std::function<void()> on_writable;
 };
 
-// Runs everything of the program on the thread that calls run(). Nothing of it is safe to use from another
-// thread.
+// Dispatches timers, descriptor events and ready coroutines on the thread that calls run(). Not thread-safe.
 class Loop {
  public:
-  // Identifies a timer that has been set. Timers due at the same time run in the order in which they were
-  // set.
+  // Identifies a timer. Timers that are due at the same time run in the order in which they were created.
   struct TimerKey {
     TimePoint due;
     std::uint64_t number = 0;
     auto operator<=>(const TimerKey&) const = default;
   };
 
-  // Simulated time stands still while anything is ready and then leaps to the next timer; no descriptor is
-  // looked at. Tests play minutes of a cluster in a moment with it, and the same way each time.
-  enum class Time { real, simulated };
+  // Simulated time stands still while coroutines are ready and then advances to the next timer; descriptors
+  // are not polled. It makes tests fast and deterministic.
+  enum class TimeSource { real, simulated };
 
-  // Throws std::system_error when the system has no epoll descriptor left.
-  explicit Loop(Time time = Time::real);
+  // Throws std::system_error if no epoll descriptor can be created.
+  explicit Loop(TimeSource time_source = TimeSource::real);
   ~Loop();
   Loop(const Loop&) = delete;
   Loop& operator=(const Loop&) = delete;
 
-  // Runs turns until stop() is called.
+  // Runs iterations until stop() is called.
   void run();
   void stop() { stopping_ = true; }
-  // One turn: waits at most `limit` for events, then runs due timers, then resumes the coroutines that were
-  // ready at that moment. Tests drive the loop with it.
-  void turn(Duration limit);
+  // Runs one iteration: waits at most `max_wait` for events, runs the timers that are due and then resumes
+  // the coroutines that are ready at that point.
+  void run_once(Duration max_wait);
 
-  // The time at which this turn began to handle its events.
+  // Returns the time at which the current iteration started to handle events.
   TimePoint now() const { return now_; }
-  // Milliseconds since 1970, or the simulated time in milliseconds.
+  // Returns the milliseconds since the Unix epoch, or the simulated time in milliseconds.
   std::int64_t time_of_day_ms() const;
 
-  // Runs the action in the first turn at or after that time.
-  TimerKey at(TimePoint due, std::function<void()> action);
-  // Without effect for a timer that has run.
+  // Calls the action in the first iteration at or after the given time.
+  TimerKey call_at(TimePoint due, std::function<void()> action);
+  // Cancels a timer. Has no effect if the timer has already run.
   void cancel(const TimerKey& key) { timers_.erase(key); }
-  // Resumes the coroutine later in this turn or in the next one.
+  // Queues a coroutine that is ready to resume, in this iteration or the next one.
   void post(std::coroutine_handle<> ready) { ready_.push_back(ready); }
-  // Takes back the post() of a coroutine that is being destroyed.
+  // Removes a coroutine that is being destroyed from the queue.
   void cancel_post(std::coroutine_handle<> ready) { std::erase(ready_, ready); }
 
-  // Reports the descriptor's events to `readiness`, which must stay valid until detach(). Throws
-  // std::system_error.
+  // Starts to record the events of a descriptor in `readiness`, which must stay valid until detach(). Throws
+  // std::system_error on failure.
   void attach(int fd, Readiness* readiness);
   void detach(int fd);
 
-  // Awaited, resumes the coroutine after the given time; does not suspend for a time that is not positive.
+  // Awaitable that resumes the coroutine after the given duration. Does not suspend if the duration is zero
+  // or negative.
   class Sleep {
    public:
-    Sleep(Loop& loop, Duration time) : loop_(loop), time_(time) {}
+    Sleep(Loop& loop, Duration duration) : loop_(loop), duration_(duration) {}
     Sleep(const Sleep&) = delete;
     Sleep& operator=(const Sleep&) = delete;
     ~Sleep() {
       if (timer_) loop_.cancel(*timer_);
     }
-    bool await_ready() const noexcept { return time_ <= Duration::zero(); }
+    bool await_ready() const noexcept { return duration_ <= Duration::zero(); }
     void await_suspend(std::coroutine_handle<> waiting) {
-      timer_ = loop_.at(loop_.now() + time_, [this, waiting] {
+      timer_ = loop_.call_at(loop_.now() + duration_, [this, waiting] {
         timer_.reset();
         waiting.resume();
       });
@@ -94,19 +93,19 @@
 
    private:
     Loop& loop_;
-    Duration time_;
-    std::optional<TimerKey> timer_;  // while the coroutine is suspended
+    Duration duration_;
+    std::optional<TimerKey> timer_;  // set while the coroutine is suspended
   };
-  Sleep sleep(Duration time) { return Sleep(*this, time); }
+  Sleep sleep(Duration duration) { return Sleep(*this, duration); }
 
  private:
-  Duration time_to_wait(Duration limit) const;
-  void poll_events(Duration limit);
+  Duration poll_timeout(Duration max_wait) const;
+  void poll_events(Duration timeout);
   void dispatch(const epoll_event& event);
   void run_due_timers();
   void resume_ready();
 
-  Time time_;
+  TimeSource time_source_;
   FileDescriptor epoll_;
   bool stopping_ = false;
   TimePoint now_;
--- a/src/net/file_descriptor.hpp
+++ b/src/net/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// Ownership of a file descriptor.
+// An owning wrapper of a file descriptor.
 #pragma once
 
 #include <unistd.h>
@@ -7,13 +7,13 @@
 
 namespace dockdyke::net {
 
-// Closes the descriptor that it owns, if any, when it is destroyed.
+// Owns a file descriptor, or none, and closes it on destruction.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
-  // Takes ownership; a negative number, as system calls return it on failure, stands for none.
+  // Takes ownership of a descriptor. A negative number, the failure value of system calls, means none.
   explicit FileDescriptor(int number) : number_(number) {}
-  FileDescriptor(FileDescriptor&& other) noexcept : number_(std::exchange(other.number_, kNone)) {}
+  FileDescriptor(FileDescriptor&& other) noexcept : number_(std::exchange(other.number_, kInvalid)) {}
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     std::swap(number_, other.number_);
     return *this;
@@ -25,13 +25,13 @@
   }
 
   bool valid() const { return number_ >= 0; }
-  // The number for system calls; stays owned.
+  // Returns the descriptor for use in system calls without giving up ownership.
   int get() const { return number_; }
 
  private:
-  static constexpr int kNone = -1;
+  static constexpr int kInvalid = -1;
 
-  int number_ = kNone;
+  int number_ = kInvalid;
 };
 
 }  // namespace dockdyke::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -7,31 +7,32 @@
 
 namespace dockdyke::net {
 
-std::optional<Socket> HttpClient::take_idle(Address to) {
+std::optional<Socket> HttpClient::take_idle_connection(Address to) {
   auto& connections = idle_connections_[to];
   while (!connections.empty()) {
-    IdleConnection last = std::move(connections.back());
+    IdleConnection latest = std::move(connections.back());
     connections.pop_back();
-    const bool recent = loop_.now() - last.since < constants::kIdleClientConnectionTimeout;
-    if (recent && !last.socket.stale()) return std::move(last.socket);
+    const bool recent = loop_.now() - latest.idle_since < constants::kIdleClientConnectionTimeout;
+    if (recent && !latest.socket.stale()) return std::move(latest.socket);
   }
   return std::nullopt;
 }
 
-void HttpClient::keep_idle(Address to, Socket socket) {
+void HttpClient::add_idle_connection(Address to, Socket socket) {
   auto& connections = idle_connections_[to];
   if (connections.size() >= constants::kMaxIdleConnectionsPerHost) connections.pop_front();
   connections.push_back({std::move(socket), loop_.now()});
 }
 
-CallResult HttpClient::connection_lost(Address to) {
-  // After a network cut the other idle connections hang just the same; each would cost a timeout of its own.
+CallResult HttpClient::fail_call(Address to) {
+  // After a network failure the other idle connections are likely broken as well, and each further call that
+  // used one would run into its own timeout.
   idle_connections_.erase(to);
   return {};
 }
 
 Task<std::optional<Socket>> HttpClient::open_connection(Address to, TimePoint deadline) {
-  std::optional<Socket> idle = take_idle(to);
+  std::optional<Socket> idle = take_idle_connection(to);
   if (idle) co_return idle;
   ConnectResult connection = co_await Socket::connect(loop_, to, deadline);
   co_return std::move(connection.socket);
@@ -42,7 +43,7 @@
     const IoResult received = co_await socket.read_some(buffer_, deadline);
     if (received.status == IoStatus::timeout) co_return false;
     if (!received) {
-      // A response without a stated length ends with the connection, however that ends.
+      // A response without a length ends when the connection ends, in whatever way.
       parser.finish();
       co_return parser.complete();
     }
@@ -58,15 +59,15 @@
   if (!socket) co_return CallResult{std::nullopt, true};
   const std::string request = serialize_request(method, target, to.text(), body);
   const IoResult sent = co_await socket->write_all(request, deadline);
-  if (!sent) co_return connection_lost(to);
+  if (!sent) co_return fail_call(to);
 
   HttpParser parser(HttpParser::Kind::response, constants::kMaxResponseBodyBytes);
   const bool received = co_await read_response(*socket, parser, deadline);
-  if (!received) co_return connection_lost(to);
+  if (!received) co_return fail_call(to);
   if (parser.error() != 0) co_return CallResult{};
   CallResult result;
-  result.response = parser.take();
-  if (result.response->keep_alive) keep_idle(to, std::move(*socket));
+  result.response = parser.take_message();
+  if (result.response->keep_alive) add_idle_connection(to, std::move(*socket));
   co_return result;
 }
 
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -1,4 +1,4 @@
-// The HTTP client for requests to other services over connections that are kept alive.
+// An HTTP client that reuses connections.
 #pragma once
 
 #include <deque>
@@ -17,8 +17,8 @@
 
 namespace dockdyke::net {
 
-// Every call has a connection to itself while it runs and leaves it to later calls when it is done. The
-// client must outlive its calls.
+// Sends HTTP requests over pooled keep-alive connections. Each call has exclusive use of a connection while
+// it runs. The client must outlive its calls.
 class HttpClient : public Transport {
  public:
   explicit HttpClient(Loop& loop) : loop_(loop), buffer_(constants::kReadBufferBytes) {}
@@ -28,22 +28,23 @@
  private:
   struct IdleConnection {
     Socket socket;
-    TimePoint since;
+    TimePoint idle_since;
   };
 
-  // The idle connection used last that is still worth using.
-  std::optional<Socket> take_idle(Address to);
-  void keep_idle(Address to, Socket socket);
-  // An idle connection or a new one; nothing when none can be had in time.
+  // Removes and returns the most recently used idle connection that is still usable, or std::nullopt.
+  std::optional<Socket> take_idle_connection(Address to);
+  void add_idle_connection(Address to, Socket socket);
+  // Returns an idle connection or opens a new one; std::nullopt if that fails or the deadline passes.
   Task<std::optional<Socket>> open_connection(Address to, TimePoint deadline);
-  // Reads until the parser has a whole response or refuses it. False when the connection failed before.
+  // Reads until the parser has a complete response or rejects it. Returns false if the connection failed or
+  // the deadline passed first.
   Task<bool> read_response(Socket& socket, HttpParser& parser, TimePoint deadline);
   // Closes the idle connections to a host and returns a result without a response.
-  CallResult connection_lost(Address to);
+  CallResult fail_call(Address to);
 
   Loop& loop_;
   std::map<Address, std::deque<IdleConnection>> idle_connections_;
-  // Shared by all calls: what is read is taken over before another coroutine runs.
+  // Shared by all calls, because received bytes are parsed before another coroutine runs.
   std::vector<char> buffer_;
 };
 
--- a/src/net/http_message.cpp
+++ b/src/net/http_message.cpp
@@ -14,8 +14,8 @@
 }  // namespace
 
 std::optional<std::string_view> HttpMessage::header(std::string_view lower_case_name) const {
-  for (const auto& each : headers)
-    if (each.name == lower_case_name) return each.value;
+  for (const auto& field : headers)
+    if (field.name == lower_case_name) return field.value;
   return std::nullopt;
 }
 
--- a/src/net/http_parser.cpp
+++ b/src/net/http_parser.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr int kDecimal = 10;
-constexpr int kHexadecimal = 16;
+constexpr int kDecimalBase = 10;
+constexpr int kHexadecimalBase = 16;
 constexpr std::size_t kStatusDigits = 3;
 constexpr std::string_view kHttp11 = "HTTP/1.1";
 constexpr std::string_view kHttp10 = "HTTP/1.0";
@@ -39,7 +39,7 @@
   return std::any_of(text.begin(), text.end(), control);
 }
 
-std::string lower(std::string_view text) {
+std::string to_lower(std::string_view text) {
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
                  [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
@@ -52,7 +52,7 @@
   return text;
 }
 
-// Nothing for text that is not entirely a number, or one that is too large.
+// Returns std::nullopt if the text is not a number in this base or the number is too large.
 std::optional<std::size_t> parse_number(std::string_view text, int base) {
   std::size_t value = 0;
   const char* const text_end = text.data() + text.size();
@@ -69,17 +69,17 @@
 }
 
 std::size_t HttpParser::feed(std::string_view bytes) {
-  const std::size_t offered = bytes.size();
+  const std::size_t input_size = bytes.size();
   while (!bytes.empty() && state_ != State::complete && state_ != State::failed)
     bytes.remove_prefix(consume(bytes));
-  return offered - bytes.size();
+  return input_size - bytes.size();
 }
 
 void HttpParser::finish() {
   if (state_ == State::until_close) state_ = State::complete;
 }
 
-HttpMessage HttpParser::take() {
+HttpMessage HttpParser::take_message() {
   HttpMessage out = std::exchange(message_, {});
   *this = HttpParser(kind_, max_body_bytes_);
   return out;
@@ -88,9 +88,9 @@
 std::size_t HttpParser::consume(std::string_view bytes) {
   switch (state_) {
     case State::body:
-      return consume_counted(bytes, State::complete);
+      return consume_data(bytes, State::complete);
     case State::chunk_data:
-      return consume_counted(bytes, State::chunk_end);
+      return consume_data(bytes, State::chunk_end);
     case State::until_close:
       append_body(bytes);
       return bytes.size();
@@ -99,7 +99,7 @@
   }
 }
 
-std::size_t HttpParser::consume_counted(std::string_view bytes, State next) {
+std::size_t HttpParser::consume_data(std::string_view bytes, State next) {
   const auto part = bytes.substr(0, remaining_);
   append_body(part);
   remaining_ -= part.size();
@@ -115,8 +115,8 @@
 std::size_t HttpParser::consume_line(std::string_view bytes) {
   const auto line_end = bytes.find('\n');
   const auto part = bytes.substr(0, line_end);
-  head_bytes_ += part.size() + 1;
-  if (head_bytes_ > constants::kMaxHeaderBytes) {
+  header_bytes_ += part.size() + 1;
+  if (header_bytes_ > constants::kMaxHeaderBytes) {
     fail(http_status::kHeaderFieldsTooLarge);
     return 0;
   }
@@ -149,7 +149,7 @@
 }
 
 void HttpParser::on_start_line(std::string_view line) {
-  if (line.empty()) return;  // a stray empty line before a message is allowed by HTTP
+  if (line.empty()) return;  // HTTP allows empty lines before a message
   const bool valid = kind_ == Kind::response ? parse_status_line(line) : parse_request_line(line);
   if (!valid) return fail(http_status::kBadRequest);
   state_ = State::headers;
@@ -159,7 +159,7 @@
   const auto space = line.find(' ');
   if (space == std::string_view::npos) return false;
   const auto version = line.substr(0, space);
-  const auto status = parse_number(line.substr(space + 1, kStatusDigits), kDecimal);
+  const auto status = parse_number(line.substr(space + 1, kStatusDigits), kDecimalBase);
   if (!version.starts_with(kHttp1Prefix) || !status) return false;
   if (*status < http_status::kMin || *status > http_status::kMax) return false;
   message_.status = static_cast<int>(*status);
@@ -168,14 +168,14 @@
 }
 
 bool HttpParser::parse_request_line(std::string_view line) {
-  const auto first = line.find(' ');
-  if (first == std::string_view::npos) return false;
-  const auto second = line.find(' ', first + 1);
-  if (second == std::string_view::npos) return false;
-  if (line.find(' ', second + 1) != std::string_view::npos) return false;
-  const auto version = line.substr(second + 1);
-  message_.method = line.substr(0, first);
-  message_.target = line.substr(first + 1, second - first - 1);
+  const auto first_space = line.find(' ');
+  if (first_space == std::string_view::npos) return false;
+  const auto second_space = line.find(' ', first_space + 1);
+  if (second_space == std::string_view::npos) return false;
+  if (line.find(' ', second_space + 1) != std::string_view::npos) return false;
+  const auto version = line.substr(second_space + 1);
+  message_.method = line.substr(0, first_space);
+  message_.target = line.substr(first_space + 1, second_space - first_space - 1);
   message_.keep_alive = version == kHttp11;
   return (version == kHttp11 || version == kHttp10) && is_token(message_.method) &&
          is_target(message_.target);
@@ -183,12 +183,13 @@
 
 void HttpParser::on_header(std::string_view line) {
   const auto colon = line.find(':');
-  // A folded line starts with a blank and so is no token: refused, as it can hide a second length.
+  // Rejects folded lines as well: they start with whitespace, which is not a token, and can hide a second
+  // length.
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon)))
     return fail(http_status::kBadRequest);
   const auto value = trim(line.substr(colon + 1));
   if (has_control_char(value)) return fail(http_status::kBadRequest);
-  message_.headers.push_back({lower(line.substr(0, colon)), std::string(value)});
+  message_.headers.push_back({to_lower(line.substr(0, colon)), std::string(value)});
 }
 
 void HttpParser::on_headers_complete() {
@@ -196,9 +197,9 @@
   if (!framing) return;
   if (kind_ == Kind::request) return start_body(*framing);
   if (message_.status < http_status::kFirstFinal) {
-    // An interim response: the real one follows.
+    // An interim response; the final response follows.
     message_ = {};
-    head_bytes_ = 0;
+    header_bytes_ = 0;
     state_ = State::start_line;
   } else if (message_.status == http_status::kNoContent || message_.status == http_status::kNotModified) {
     state_ = State::complete;
@@ -226,8 +227,8 @@
 }
 
 bool HttpParser::read_content_length(const std::string& value, BodyFraming& framing) {
-  const auto length = parse_number(value, kDecimal);
-  // Two different lengths would let two readers see two different messages.
+  const auto length = parse_number(value, kDecimalBase);
+  // Differing lengths would allow request smuggling.
   if (!length || (framing.length && *framing.length != *length)) {
     fail(http_status::kBadRequest);
     return false;
@@ -237,7 +238,7 @@
 }
 
 bool HttpParser::read_transfer_encoding(const std::string& value, BodyFraming& framing) {
-  if (framing.chunked || lower(value) != "chunked") {
+  if (framing.chunked || to_lower(value) != "chunked") {
     fail(kind_ == Kind::request ? http_status::kNotImplemented : http_status::kBadRequest);
     return false;
   }
@@ -246,7 +247,7 @@
 }
 
 void HttpParser::read_connection(const std::string& value) {
-  const std::string options = lower(value);
+  const std::string options = to_lower(value);
   if (options.find("close") != std::string::npos) message_.keep_alive = false;
   if (options.find("keep-alive") != std::string::npos) message_.keep_alive = true;
 }
@@ -267,12 +268,12 @@
 }
 
 void HttpParser::on_chunk_size(std::string_view line) {
-  // What follows a semicolon is an extension of the chunk, of no meaning here.
-  const auto size = parse_number(trim(line.substr(0, line.find(';'))), kHexadecimal);
+  // Chunk extensions, which follow a semicolon, are ignored.
+  const auto size = parse_number(trim(line.substr(0, line.find(';'))), kHexadecimalBase);
   if (!size) return fail(http_status::kBadRequest);
   if (*size > max_body_bytes_) return fail(http_status::kContentTooLarge);
   remaining_ = *size;
-  head_bytes_ = 0;
+  header_bytes_ = 0;
   state_ = *size == 0 ? State::trailers : State::chunk_data;
 }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -15,20 +15,20 @@
 
 using namespace std::chrono_literals;
 
-// Pause before more waiting connections are accepted, so that those that are served get their turn.
-constexpr auto kAcceptPause = 1ms;
-// The same when none could be accepted since the process has no descriptor left.
-constexpr auto kNoDescriptorPause = 50ms;
-// Time that a peer which is refused a connection has to take the response.
-constexpr auto kRefusalWriteTimeout = 1s;
-
-// Awaited, waits until a connection can be accepted.
-class ConnectionWaiting {
+// Delay before more pending connections are accepted, so that existing connections are not starved.
+constexpr auto kAcceptDelay = 1ms;
+// Delay before the next attempt when the process has run out of file descriptors.
+constexpr auto kNoDescriptorDelay = 50ms;
+// Write timeout for the response to a connection above the limit.
+constexpr auto kRejectionWriteTimeout = 1s;
+
+// Awaitable that resumes the coroutine when the listener has a pending connection.
+class ListenerReadable {
  public:
-  explicit ConnectionWaiting(Readiness& listener) : listener_(listener) {}
-  ConnectionWaiting(const ConnectionWaiting&) = delete;
-  ConnectionWaiting& operator=(const ConnectionWaiting&) = delete;
-  ~ConnectionWaiting() { listener_.on_readable = nullptr; }
+  explicit ListenerReadable(Readiness& listener) : listener_(listener) {}
+  ListenerReadable(const ListenerReadable&) = delete;
+  ListenerReadable& operator=(const ListenerReadable&) = delete;
+  ~ListenerReadable() { listener_.on_readable = nullptr; }
   bool await_ready() const { return listener_.readable; }
   void await_suspend(std::coroutine_handle<> waiting) {
     listener_.on_readable = [waiting] { waiting.resume(); };
@@ -41,11 +41,11 @@
 
 }  // namespace
 
-// Owned by the coroutine that serves it.
+// The state of one connection, owned by the coroutine that serves it.
 struct HttpServer::Connection {
   Socket socket;
   HttpParser parser;
-  std::string unparsed;  // received, but not yet taken by the parser
+  std::string unparsed;  // received, but not yet consumed by the parser
 };
 
 HttpServer::HttpServer(Loop& loop, Address address, std::size_t max_connections, Handler handler)
@@ -67,17 +67,17 @@
 
 Task<void> HttpServer::accept_connections() {
   for (;;) {
-    const int accepted = accept_waiting();
+    const int accepted = accept_pending();
     if (listener_readiness_.readable) {
-      // More are waiting, or the process has no descriptor left: let the others work first.
-      co_await loop_.sleep(accepted > 0 ? kAcceptPause : kNoDescriptorPause);
+      // More connections are pending, or the process has run out of file descriptors.
+      co_await loop_.sleep(accepted > 0 ? kAcceptDelay : kNoDescriptorDelay);
     } else {
-      co_await ConnectionWaiting(listener_readiness_);
+      co_await ListenerReadable(listener_readiness_);
     }
   }
 }
 
-int HttpServer::accept_waiting() {
+int HttpServer::accept_pending() {
   int accepted = 0;
   while (accepted < constants::kMaxAcceptsPerIteration) {
     FileDescriptor fd(::accept4(listener_.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
@@ -92,34 +92,34 @@
 }
 
 void HttpServer::start_connection(Socket socket) {
-  if (connections_ >= max_connections_) {
-    spawn(refuse(std::move(socket)));
+  if (connection_count_ >= max_connections_) {
+    spawn(reject_connection(std::move(socket)));
   } else {
-    ++connections_;
-    spawn(serve(std::move(socket)));
+    ++connection_count_;
+    spawn(serve_connection(std::move(socket)));
   }
 }
 
-Task<void> HttpServer::refuse(Socket socket) {
+Task<void> HttpServer::reject_connection(Socket socket) {
   const HttpResponse response{http_status::kServiceUnavailable, {}, constants::kRetryAfterSeconds};
   const auto bytes = serialize(response, false);
-  co_await socket.write_all(bytes, loop_.now() + kRefusalWriteTimeout);
+  co_await socket.write_all(bytes, loop_.now() + kRejectionWriteTimeout);
 }
 
-bool HttpServer::crowded() const {
-  return static_cast<double>(connections_) >
+bool HttpServer::near_connection_limit() const {
+  return static_cast<double>(connection_count_) >
          constants::kKeepAliveConnectionFraction * static_cast<double>(max_connections_);
 }
 
-Task<void> HttpServer::serve(Socket socket) {
+Task<void> HttpServer::serve_connection(Socket socket) {
   Connection connection{
       std::move(socket), HttpParser(HttpParser::Kind::request, constants::kMaxRequestBodyBytes), {}};
   bool open = true;
   while (open) {
     open = co_await read_request(connection);
-    if (open) open = co_await answer_request(connection);
+    if (open) open = co_await respond(connection);
   }
-  --connections_;
+  --connection_count_;
 }
 
 Task<bool> HttpServer::read_request(Connection& connection) {
@@ -140,16 +140,16 @@
   }
 }
 
-Task<bool> HttpServer::answer_request(Connection& connection) {
+Task<bool> HttpServer::respond(Connection& connection) {
   HttpResponse response;
   bool keep_alive = false;
   if (connection.parser.error() != 0) {
     response.status = connection.parser.error();
   } else {
-    HttpMessage request = connection.parser.take();
-    const bool client_keeps_alive = request.keep_alive;
+    HttpMessage request = connection.parser.take_message();
+    const bool client_allows_keep_alive = request.keep_alive;
     response = co_await handler_(std::move(request));
-    keep_alive = client_keeps_alive && !crowded();
+    keep_alive = client_allows_keep_alive && !near_connection_limit();
   }
   const auto bytes = serialize(response, keep_alive);
   const TimePoint deadline = loop_.now() + constants::kResponseWriteTimeout;
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -1,5 +1,4 @@
-// An HTTP server: each connection is served by one coroutine that reads, handles and answers one request at a
-// time. Requests are not pipelined (PROTOCOL, introduction).
+// An HTTP server with one coroutine per connection, which handles one request at a time.
 #pragma once
 
 #include <cstddef>
@@ -17,49 +16,51 @@
 
 namespace dockdyke::net {
 
-// The coroutines that serve its connections refer to the server, so it must outlive the last turn of the
-// loop. The loop must outlive the server.
+// Accepts connections and passes their requests to a handler. The coroutines of the connections refer to the
+// server, so it must outlive the last iteration of the loop. The loop must outlive the server.
 class HttpServer {
  public:
-  // Handles one request. An exception that leaves it ends the process.
+  // Handles one request. An exception that leaves the handler terminates the process.
   using Handler = std::function<Task<HttpResponse>(HttpMessage)>;
 
-  // Listens at once; throws std::system_error when the address can't be had. Serves at most `max_connections`
-  // at once; one more is told 503 and closed. When that comes near, connections are closed after their
-  // response, so that more peers than there are sockets take turns.
+  // Listens on the address; throws std::system_error on failure. Serves at most `max_connections` at a time;
+  // further connections receive status 503 and are closed. Near the limit, connections are closed after each
+  // response, so that a larger number of peers can share the available connections.
   HttpServer(Loop& loop, Address address, std::size_t max_connections, Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Begins to accept connections. Called once.
+  // Starts to accept connections. Must be called only once.
   void start();
-  // Number of connections that are being served.
-  std::size_t connections() const { return connections_; }
+  // Returns the number of connections that are being served.
+  std::size_t connection_count() const { return connection_count_; }
 
  private:
   struct Connection;
 
   Task<void> accept_connections();
-  // Accepts up to kMaxAcceptsPerIteration connections that wait; returns how many those were.
-  int accept_waiting();
+  // Accepts up to kMaxAcceptsPerIteration pending connections and returns their number.
+  int accept_pending();
   void start_connection(Socket socket);
-  Task<void> serve(Socket socket);
-  Task<void> refuse(Socket socket);
-  // Reads until the connection's parser has a whole request or refuses it. False when the connection is to be
-  // closed: idle or slow for too long, or closed by the peer.
+  Task<void> serve_connection(Socket socket);
+  Task<void> reject_connection(Socket socket);
+  // Reads until the parser has a complete request or rejects it. Returns false if the connection must be
+  // closed because of an idle or read timeout, an error, or because the peer closed it.
   Task<bool> read_request(Connection& connection);
-  // Answers the request that has been read. False when the connection is to be closed.
-  Task<bool> answer_request(Connection& connection);
-  bool crowded() const;
+  // Responds to the request that was read, or with its parse error. Returns false if the connection must be
+  // closed afterwards.
+  Task<bool> respond(Connection& connection);
+  // Returns true if there are too many connections to keep them open after a response.
+  bool near_connection_limit() const;
 
   Loop& loop_;
   FileDescriptor listener_;
   Readiness listener_readiness_;
   std::size_t max_connections_;
-  std::size_t connections_ = 0;
+  std::size_t connection_count_ = 0;
   Handler handler_;
-  // Shared by all connections: what is read is taken over before another coroutine runs.
+  // Shared by all connections, because received bytes are copied before another coroutine runs.
   std::vector<char> buffer_;
 };
 
--- a/src/net/http_status.hpp
+++ b/src/net/http_status.hpp
@@ -1,4 +1,4 @@
-// The HTTP status codes that the protocols of this program use.
+// The HTTP status codes that this program uses.
 #pragma once
 
 #include <string_view>
@@ -22,13 +22,13 @@
 inline constexpr int kNotImplemented = 501;
 inline constexpr int kServiceUnavailable = 503;
 
-// Status codes of HTTP lie between these; those below kFirstFinal are of interim responses, which the real
-// one follows.
+// The range of valid HTTP status codes. Codes below kFirstFinal denote interim responses, which are followed
+// by a final response.
 inline constexpr int kMin = 100;
 inline constexpr int kFirstFinal = 200;
 inline constexpr int kMax = 599;
 
-// The text that follows the code in a status line; "Status" for a code that this program never sends.
+// Returns the reason phrase for a status line, or "Status" for a code that this program never sends.
 std::string_view reason_phrase(int status);
 
 }  // namespace dockdyke::net::http_status
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -1,4 +1,4 @@
-// The event loop together with what coroutines await on it.
+// The event loop and the synchronization primitives that coroutines await on it.
 #pragma once
 
 #include "net/clock.hpp"
--- a/src/net/one_shot.hpp
+++ b/src/net/one_shot.hpp
@@ -1,4 +1,4 @@
-// A value that arrives once, from whoever has it to one coroutine that waits for it.
+// A one-shot channel: passes a single value to a waiting coroutine.
 #pragma once
 
 #include <coroutine>
@@ -10,13 +10,14 @@
 
 namespace dockdyke::net {
 
-// Copies share one value. At most one coroutine waits at a time. The loop must outlive the wait.
+// Holds a value that is set at most once and that one coroutine can wait for. Copies share the value. At most
+// one coroutine waits at a time. The loop must outlive the wait.
 template <class T>
 class OneShot {
  public:
   explicit OneShot(Loop& loop) : state_(std::make_shared<State>(State{&loop, {}, {}, {}})) {}
 
-  // Sets the value and has the waiting coroutine resumed. Only the first value counts.
+  // Sets the value and schedules the waiting coroutine. Has no effect if a value is already set.
   void set(T value) const {
     if (state_->value) return;
     state_->value.emplace(std::move(value));
@@ -25,10 +26,10 @@
     state_->loop->post(std::exchange(state_->waiting, {}));
   }
 
-  // True for copies of one another.
-  bool same(const OneShot& other) const { return state_ == other.state_; }
+  // Returns true if both objects are copies that share the same value.
+  bool shares_state_with(const OneShot& other) const { return state_ == other.state_; }
 
-  // Awaited, gives a copy of the value, or nothing when the deadline passed first.
+  // Returns an awaitable that yields a copy of the value, or std::nullopt if the deadline passes first.
   auto wait_until(TimePoint deadline) const { return Awaiter(state_, deadline); }
 
  private:
@@ -52,8 +53,8 @@
     void await_suspend(std::coroutine_handle<> waiting) {
       suspended_ = waiting;
       state_->waiting = waiting;
-      state_->timer = state_->loop->at(deadline_, [shared = state_] {
-        if (shared->waiting) std::exchange(shared->waiting, {}).resume();
+      state_->timer = state_->loop->call_at(deadline_, [state = state_] {
+        if (state->waiting) std::exchange(state->waiting, {}).resume();
       });
     }
     std::optional<T> await_resume() {
@@ -62,7 +63,7 @@
     }
 
    private:
-    // The coroutine is destroyed while it waits, or after it was posted.
+    // Deregisters a coroutine that is destroyed while it waits, or after it was posted but before it resumed.
     void cancel_wait() {
       if (state_->waiting) {
         state_->waiting = {};
--- a/src/net/result.hpp
+++ b/src/net/result.hpp
@@ -1,8 +1,7 @@
-// The result of a call to another service, the same type for every service that the program calls.
+// The result type of calls to other services.
 //
-// PROTOCOL states what each HTTP status means for each service ("Controller nodes -> state service",
-// "Controller nodes -> cloud"); the clients map statuses to an Outcome and their callers decide by that
-// alone. The method, target and status of a failed call come along for logs.
+// Each service client maps HTTP statuses to an Outcome, and its callers decide on the Outcome alone. The
+// method, target and status of a failed call are included for logging.
 #pragma once
 
 #include <optional>
@@ -12,19 +11,19 @@
 
 namespace dockdyke::net {
 
-// What became of a call.
+// The outcome of a call to another service.
 enum class Outcome {
   ok,
-  missing,      // no such key or lease
-  conflict,     // a precondition did not hold; nothing was changed
-  expired,      // the revision asked for is too old to watch from
-  no_capacity,  // no machine of this type, zone and kind is available now
-  rejected,     // the service found the request malformed; nothing was changed
-  refused,      // not executed: outage, rate limit, or no token of the local rate limiter in time
-  unknown,      // no usable answer: executed, or not, or yet to be executed
+  missing,      // the key or lease does not exist
+  conflict,     // a precondition failed; nothing was changed
+  expired,      // the requested revision is too old to start a watch from
+  no_capacity,  // no machine of this type, zone and kind is currently available
+  rejected,     // the service considers the request malformed; nothing was changed
+  refused,      // not executed: outage, rate limit, or the local rate limiter granted no token in time
+  unknown,      // no usable response: the request may have been executed or may still be executed
 };
 
-// The name of an outcome as it stands in the code, for logs.
+// Returns the name of the enumerator, for logs.
 constexpr std::string_view to_string(Outcome outcome) {
   switch (outcome) {
     case Outcome::ok:
@@ -47,26 +46,25 @@
   return "unknown";
 }
 
-// What a failed call asked for and what answered it.
+// The request of a failed call and the status of its response.
 struct CallError {
   std::string method;
   std::string target;
-  std::optional<int> status;  // HTTP status; nothing when no response came or nothing was sent
+  std::optional<int> status;  // HTTP status; empty if no response was received or no request was sent
 };
 
-// An outcome and, for Outcome::ok, the value that the service returned. The value of any other outcome is
-// empty unless the call that returns it says otherwise.
+// The outcome of a call and, for Outcome::ok, the value that the service returned. For any other outcome the
+// value is default-constructed unless the called function documents otherwise.
 template <class T>
 struct Result {
   Outcome outcome = Outcome::unknown;
   T value{};
-  std::optional<CallError> error{};  // set by the clients for every outcome but ok
+  std::optional<CallError> error{};  // set by the clients for every outcome except ok
 
-  // True for Outcome::ok alone.
   explicit operator bool() const { return outcome == Outcome::ok; }
 };
 
-// A result without a value.
+// Returns a failed result without a value.
 template <class T>
 Result<T> failure(Outcome outcome, CallError error) {
   return Result<T>{outcome, T{}, std::move(error)};
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -26,7 +26,7 @@
   return FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-// Requests and responses are written whole; holding their last segment back would only delay them.
+// Messages are written as a whole, so Nagle's algorithm would only delay their last segment.
 void disable_nagle(int fd) {
   const int on = 1;
   ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -36,7 +36,7 @@
   return error_number == EAGAIN || error_number == EWOULDBLOCK;
 }
 
-IoResult failed_with(int error_number) {
+IoResult io_failure(int error_number) {
   switch (error_number) {
     case EPIPE:
       return {IoStatus::closed, 0, error_number};
@@ -49,7 +49,7 @@
   }
 }
 
-// The outcome of a connection attempt that the system has finished: 0 or an error number.
+// Returns the error of a completed connection attempt, or 0 if it succeeded.
 int pending_error(int fd) {
   int error = 0;
   socklen_t size = sizeof error;
@@ -75,9 +75,8 @@
   return *this;
 }
 
-auto Socket::ready(Direction direction, TimePoint deadline) {
-  // Lives in the frame of the suspended coroutine. Whichever of event and timer comes first removes the
-  // other.
+auto Socket::wait_until_ready(Direction direction, TimePoint deadline) {
+  // Lives in the frame of the suspended coroutine. The first of event and timer deregisters the other.
   class Awaiter {
    public:
     Awaiter(State& state, bool reading, TimePoint deadline)
@@ -89,7 +88,7 @@
     Awaiter& operator=(const Awaiter&) = delete;
     ~Awaiter() {
       if (!timer_) return;
-      // The coroutine is destroyed while it waits.
+      // The coroutine is destroyed while it waits, so the timer and the callback are still registered.
       loop_.cancel(*timer_);
       on_ready_ = nullptr;
     }
@@ -99,7 +98,7 @@
         loop_.cancel(*std::exchange(timer_, std::nullopt));
         waiting.resume();
       };
-      timer_ = loop_.at(deadline_, [this, waiting] {
+      timer_ = loop_.call_at(deadline_, [this, waiting] {
         timer_.reset();
         on_ready_ = nullptr;
         in_time_ = false;
@@ -113,7 +112,7 @@
     const bool& ready_;
     std::function<void()>& on_ready_;
     TimePoint deadline_;
-    std::optional<Loop::TimerKey> timer_;  // while the coroutine is suspended
+    std::optional<Loop::TimerKey> timer_;  // set while the coroutine is suspended
     bool in_time_ = true;
   };
   return Awaiter(*state_, direction == Direction::read, deadline);
@@ -121,19 +120,19 @@
 
 Task<ConnectResult> Socket::connect(Loop& loop, Address to, TimePoint deadline) {
   FileDescriptor fd = open_tcp_socket();
-  if (!fd.valid()) co_return ConnectResult{failed_with(errno), std::nullopt};
+  if (!fd.valid()) co_return ConnectResult{io_failure(errno), std::nullopt};
   auto target = to_sockaddr(to);
   const int connected = ::connect(fd.get(), reinterpret_cast<sockaddr*>(&target), sizeof target);
   const int connect_error = connected == 0 ? 0 : errno;
   if (connect_error != 0 && connect_error != EINPROGRESS)
-    co_return ConnectResult{failed_with(connect_error), std::nullopt};
+    co_return ConnectResult{io_failure(connect_error), std::nullopt};
   Socket socket(loop, std::move(fd));
   if (connect_error == EINPROGRESS) {
     socket.state_->readiness.writable = false;
-    const bool in_time = co_await socket.ready(Direction::write, deadline);
+    const bool in_time = co_await socket.wait_until_ready(Direction::write, deadline);
     if (!in_time) co_return ConnectResult{{IoStatus::timeout, 0, 0}, std::nullopt};
     const int error = pending_error(socket.state_->fd.get());
-    if (error != 0) co_return ConnectResult{failed_with(error), std::nullopt};
+    if (error != 0) co_return ConnectResult{io_failure(error), std::nullopt};
   }
   co_return ConnectResult{{}, std::move(socket)};
 }
@@ -145,9 +144,9 @@
     if (received == 0) co_return IoResult{IoStatus::closed, 0, 0};
     const int error = errno;
     if (error == EINTR) continue;
-    if (!would_block(error)) co_return failed_with(error);
+    if (!would_block(error)) co_return io_failure(error);
     state_->readiness.readable = false;
-    const bool in_time = co_await ready(Direction::read, deadline);
+    const bool in_time = co_await wait_until_ready(Direction::read, deadline);
     if (!in_time) co_return IoResult{IoStatus::timeout, 0, 0};
   }
 }
@@ -162,16 +161,16 @@
     }
     const int error = errno;
     if (error == EINTR) continue;
-    if (!would_block(error)) co_return failed_with(error);
+    if (!would_block(error)) co_return io_failure(error);
     state_->readiness.writable = false;
-    const bool in_time = co_await ready(Direction::write, deadline);
+    const bool in_time = co_await wait_until_ready(Direction::write, deadline);
     if (!in_time) co_return IoResult{IoStatus::timeout, size - bytes.size(), 0};
   }
   co_return IoResult{IoStatus::ok, size, 0};
 }
 
 bool Socket::stale() {
-  // Readiness is edge-triggered and remembered, so this asks the kernel only when something happened.
+  // If the loop has reported no event since the last read that would have blocked, there is nothing to read.
   if (!state_->readiness.readable) return false;
   char byte;
   const auto received = ::recv(state_->fd.get(), &byte, 1, MSG_PEEK);
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Non-blocking TCP sockets for coroutines.
+// Non-blocking TCP sockets for use in coroutines.
 #pragma once
 
 #include <cstddef>
@@ -14,31 +14,32 @@
 
 namespace dockdyke::net {
 
-// What an operation on a socket came to.
+// The outcome of a socket operation.
 enum class IoStatus {
   ok,
-  closed,   // the peer closed the connection in order
-  timeout,  // the deadline passed first
-  reset,    // the connection broke
-  refused,  // the peer accepts no connection
-  failed,   // any other error of the system
+  closed,   // the peer closed the connection
+  timeout,  // the deadline passed
+  reset,    // the connection was reset
+  refused,  // the peer refused the connection
+  failed,   // any other system error
 };
 
 struct IoResult {
   IoStatus status = IoStatus::ok;
   std::size_t size = 0;  // bytes transferred
-  int error_number = 0;  // errno; 0 where the status does not come from a system call that failed
+  int error_number = 0;  // errno of the failed system call, or 0 if none failed
 
   explicit operator bool() const { return status == IoStatus::ok; }
 };
 
 struct ConnectResult;
 
-// A connected socket, owned by one coroutine at a time. At most one coroutine reads and one writes; the
-// socket must not be destroyed or moved from while either is suspended. The loop must outlive it.
+// A connected socket. At most one coroutine reads from it and one writes to it at a time; the socket must not
+// be destroyed or moved from while either is suspended. The loop must outlive it.
 class Socket {
  public:
-  // Takes over a connected or connecting descriptor. Throws std::system_error when the loop can't watch it.
+  // Takes ownership of a connected or connecting descriptor. Throws std::system_error if the loop cannot
+  // watch it.
   Socket(Loop& loop, FileDescriptor fd);
   ~Socket();
   Socket(Socket&& other) noexcept = default;
@@ -48,16 +49,17 @@
 
   static Task<ConnectResult> connect(Loop& loop, Address to, TimePoint deadline);
 
-  // Reads what is there, at least one byte; waits for it up to the deadline. The buffer must outlive the call
-  // but is written to only just before the caller is resumed.
+  // Reads the available bytes, waiting until the deadline for at least one. The buffer must outlive the call,
+  // but is written to only immediately before the caller resumes, so sockets may share it.
   Task<IoResult> read_some(std::span<char> buffer, TimePoint deadline);
-  // Writes all bytes, waiting for the peer to take them up to the deadline. The bytes must outlive the call.
+  // Writes all bytes, waiting until the deadline while the send buffer is full. The bytes must outlive the
+  // call.
   Task<IoResult> write_all(std::string_view bytes, TimePoint deadline);
-  // True when the peer has closed or sent something unasked for: an idle connection not worth reusing.
+  // Returns true if an idle connection cannot be reused: the peer has closed it or sent unexpected data.
   bool stale();
 
  private:
-  // Apart from the socket, so that the loop's reference to the readiness survives a move.
+  // Allocated separately, so that the loop's pointer to the readiness stays valid when the Socket is moved.
   struct State {
     Loop* loop;
     FileDescriptor fd;
@@ -65,19 +67,20 @@
     ~State();
   };
   enum class Direction { read, write };
-  // Awaited, waits until the descriptor is ready; false when the deadline passed first.
-  auto ready(Direction direction, TimePoint deadline);
+  // Returns an awaitable that yields true when the descriptor is ready, or false if the deadline passes
+  // first.
+  auto wait_until_ready(Direction direction, TimePoint deadline);
 
   std::unique_ptr<State> state_;
 };
 
-// A connection, or why there is none.
+// The result of a connection attempt.
 struct ConnectResult {
   IoResult result;
-  std::optional<Socket> socket;  // set if the result is ok
+  std::optional<Socket> socket;  // set if and only if the result is ok
 };
 
-// Listens on an address. Throws std::system_error when it can't be had.
+// Returns a socket that listens on the address. Throws std::system_error on failure.
 FileDescriptor listen_on(Address address);
 
 }  // namespace dockdyke::net
--- a/src/net/task.hpp
+++ b/src/net/task.hpp
@@ -1,48 +1,49 @@
-// Coroutines: Task, which yields one value to the coroutine that awaits it, and spawn() for one that nobody
-// awaits.
+// Coroutine support: Task, whose value is returned to the coroutine that awaits it, and spawn() for tasks
+// that run without being awaited.
 //
 // Rules for coroutines in this program
 //
 // Ownership
-//   - A Task owns its coroutine and destroys it with itself. A coroutine starts when its Task is awaited, not
-//     when it is called, and it is awaited at most once.
-//   - An awaited coroutine lives in the frame of the one that awaits it, which is suspended until it ends.
-//   - A spawned coroutine owns itself. It starts at once, within spawn(), and frees itself when it ends.
-//     Nothing cancels it: one that outlives the object it works for has to ask, after each suspension,
-//     whether that object is still in charge, and to end if it is not.
-//   - A coroutine spawned in a TaskScope (net/task_scope.hpp) belongs to the scope, which destroys it, where
-//     it is suspended, with itself. Every awaiter therefore takes back, in its destructor, what it has left
-//     with the loop.
+//   - A Task owns its coroutine and destroys it in its destructor. The coroutine starts when the Task is
+//     awaited, not when the coroutine function is called, and is awaited at most once.
+//   - An awaited Task lives in the frame of the awaiting coroutine, which is suspended until the task ends.
+//   - A coroutine started with spawn() runs immediately up to its first suspension and frees itself when it
+//     ends. Nothing cancels it: a coroutine that may outlive the object it works for must check after each
+//     suspension whether it should still run, and return if not.
+//   - A coroutine spawned in a TaskScope (net/task_scope.hpp) is owned by the scope, whose destructor also
+//     destroys coroutines that are suspended. Every awaiter must therefore deregister its timers and
+//     callbacks from the loop in its destructor.
 //
-// Lifetime of what a coroutine refers to
-//   - A coroutine that is spawned, or that may outlive the call that made it, takes its parameters by value.
-//     `this` and references are allowed where the doc comment of the class says that the object outlives its
-//     coroutines, or where the coroutine holds a shared_ptr to it.
-//   - A coroutine that is awaited at once may take references to variables of the one that awaits it.
-//   - A lambda that is a coroutine may capture only what, as the lambda itself, outlives the coroutine:
-//     captures are part of the lambda, not of the frame. Otherwise it passes everything as parameters.
-//   - A view, span or iterator is kept across a suspension only into what this coroutine owns or the one that
-//     awaits it owns.
-//   - A result is stored in a named variable before it is tested, and an aggregate is passed in a named
-//     variable as well: GCC 12 copies one written in braces within an expression with co_await byte by byte,
-//     and its strings are freed twice.
+// Lifetime of parameters and captures
+//   - A coroutine that is spawned, or that may outlive the call that created it, takes its parameters by
+//     value. `this` and references are allowed if the class comment states that the object outlives its
+//     coroutines, or if the coroutine holds a shared_ptr to the object.
+//   - A coroutine that is awaited immediately may take references to variables of the awaiting coroutine.
+//   - Captures belong to the lambda object and not to the coroutine frame. A coroutine lambda may therefore
+//     have captures only if the lambda object and everything captured outlive the coroutine; otherwise it
+//     takes everything as parameters.
+//   - A view, span or iterator may be kept across a suspension only if this coroutine or the one awaiting it
+//     owns the underlying object.
+//   - Store the result of co_await in a named variable before testing it, and pass aggregates as named
+//     variables: GCC 12 copies a braced temporary in a co_await expression bytewise, so that its strings are
+//     freed twice.
 //
-// What may change across a suspension
-//   - Everything runs on the thread of one event loop, so nothing changes between two suspensions and there
-//     are no locks. At each co_await anything may change that others can reach: members, containers, the
-//     time.
-//   - Members read before a suspension are read again after it, or a comment says why they are still valid. A
-//     check is made after the last suspension before the action that rests on it.
-//   - Awaiting a Task does not suspend by itself: control passes straight into the coroutine and, at its end,
-//     straight back. Only an awaiter that waits for the loop (a sleep, a OneShot, a WakeUp, a socket) lets
-//     others run.
-//   - OneShot::set and WakeUp::notify resume the waiting coroutine in the next pass of the loop, never within
-//     the call. A timer resumes it from the loop itself.
+// State across suspensions
+//   - All code runs on the thread of one event loop, so no other code runs between two suspensions and no
+//     locks are needed. At each co_await, anything that other code can reach may change: members, containers,
+//     the time.
+//   - Re-read members after each suspension, or explain in a comment why the earlier value is still valid.
+//     Check the precondition of an action after the last suspension before it.
+//   - Awaiting a Task does not suspend to the loop: control passes directly into the coroutine and, when it
+//     ends, directly back. Only awaiters that wait for the loop (Sleep, OneShot, WakeUp, Socket) let other
+//     coroutines run.
+//   - OneShot::set and WakeUp::notify resume the waiting coroutine later from the loop, never within the
+//     call. A timer also resumes it from the loop.
 //
 // Exceptions
-//   - An exception that leaves a coroutine is rethrown in the one that awaits it. One that leaves a spawned
-//     coroutine ends the process. Failures that are to be expected (a service that does not answer, a message
-//     that does not parse) are therefore returned as values.
+//   - An exception that leaves a coroutine is rethrown in the awaiting coroutine. One that leaves a spawned
+//     coroutine terminates the process. Expected failures (a service that does not respond, a malformed
+//     message) are therefore returned as values.
 #pragma once
 
 #include <coroutine>
@@ -57,18 +58,18 @@
 
 namespace detail {
 
-// Passes control from a coroutine that has ended to the one that awaits it.
+// Transfers control from a finished coroutine to the coroutine that awaits it.
 struct FinalAwaiter {
   bool await_ready() noexcept { return false; }
   template <class Promise>
-  std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> done) noexcept {
-    auto next = done.promise().continuation;
-    return next ? next : std::noop_coroutine();
+  std::coroutine_handle<> await_suspend(std::coroutine_handle<Promise> finished) noexcept {
+    auto continuation = finished.promise().continuation;
+    return continuation ? continuation : std::noop_coroutine();
   }
   void await_resume() noexcept {}
 };
 
-// What the promises of all tasks have in common. The coroutine is not started by its creation.
+// Common base of the promises of all tasks. A coroutine is suspended at its start until it is awaited.
 struct PromiseBase {
   std::coroutine_handle<> continuation;
   std::exception_ptr error;
@@ -84,7 +85,7 @@
 
   Task<T> get_return_object();
   void return_value(T result) { value.emplace(std::move(result)); }
-  T take() {
+  T take_result() {
     if (error) std::rethrow_exception(error);
     return std::move(*value);
   }
@@ -94,15 +95,15 @@
 struct Promise<void> : PromiseBase {
   Task<void> get_return_object();
   void return_void() noexcept {}
-  void take() {
+  void take_result() {
     if (error) std::rethrow_exception(error);
   }
 };
 
 }  // namespace detail
 
-// A coroutine that has not been awaited yet, or is being awaited. Awaiting it gives the value that it
-// returns, or throws what left it. A Task that was moved from must not be awaited.
+// Owns a coroutine that starts when the Task is awaited. Awaiting it returns the value of the coroutine or
+// rethrows the exception that left it. A moved-from Task must not be awaited.
 template <class T>
 class [[nodiscard]] Task {
  public:
@@ -129,7 +130,7 @@
     handle_.promise().continuation = waiting;
     return handle_;
   }
-  T await_resume() { return handle_.promise().take(); }
+  T await_resume() { return handle_.promise().take_result(); }
 
  private:
   Handle handle_;
@@ -144,9 +145,9 @@
   return Task<void>(std::coroutine_handle<Promise<void>>::from_promise(*this));
 }
 
-// A coroutine nobody awaits: it starts at once and frees itself at its end.
+// Return type of a coroutine that starts immediately, is never awaited and frees itself when it ends.
 struct Detached {
-  struct promise_type {  // NOLINT(readability-identifier-naming): the language asks for this name
+  struct promise_type {  // NOLINT(readability-identifier-naming): name required by the language
     Detached get_return_object() noexcept { return {}; }
     std::suspend_never initial_suspend() noexcept { return {}; }
     std::suspend_never final_suspend() noexcept { return {}; }
@@ -156,8 +157,8 @@
 };
 }  // namespace detail
 
-// Runs a task on its own, up to its first suspension within this call. An exception that leaves it is a
-// defect of the program and ends the process, which is restarted with everything durable in the state
+// Starts a task that nothing awaits and runs it up to its first suspension within this call. An exception
+// that leaves the task is a bug and terminates the process; it restarts from the state stored in the state
 // service.
 inline void spawn(Task<void> task) {
   [](Task<void> owned) -> detail::Detached { co_await owned; }(std::move(task));
--- a/src/net/task_scope.hpp
+++ b/src/net/task_scope.hpp
@@ -1,4 +1,4 @@
-// An owner for long-lived coroutines.
+// Owns long-lived coroutines and destroys them on scope exit.
 #pragma once
 
 #include <coroutine>
@@ -13,12 +13,12 @@
 
 namespace dockdyke::net {
 
-// Owns the coroutines that are spawned in it, and destroys those that have not ended when it is destroyed,
-// last spawned first. A destroyed coroutine is not resumed again; the destructors of its variables run.
+// Owns the coroutines that are spawned in it. Its destructor destroys those that have not ended, in reverse
+// order of spawning. A destroyed coroutine is not resumed again; the destructors of its variables run.
 //
-// What the coroutines refer to must outlive the scope, so the scope is the last member of the object that
-// they work for. It must not be destroyed by one of its own coroutines. An exception that leaves a coroutine
-// ends the process, as with spawn().
+// Objects that the coroutines refer to must outlive the scope, so the scope is declared as the last member of
+// its owner. One of its own coroutines must not destroy it. An exception that leaves a coroutine terminates
+// the process, as with spawn().
 class TaskScope {
  public:
   TaskScope() = default;
@@ -33,58 +33,59 @@
     }
   }
 
-  // Runs a task up to its first suspension within this call, and on from there by the loop.
+  // Starts a task and runs it up to its first suspension within this call; the loop resumes it later.
   void spawn(Task<void> task);
 
-  // Number of coroutines that have not ended.
-  std::size_t running() const { return running_.size(); }
+  // Returns the number of coroutines that have not ended.
+  std::size_t running_count() const { return running_.size(); }
 
  private:
-  // The coroutine around a spawned task.
+  // The return type of the coroutine that wraps a spawned task.
   struct Root {
-    struct promise_type;  // NOLINT(readability-identifier-naming): the language asks for this name
+    struct promise_type;  // NOLINT(readability-identifier-naming): name required by the language
     std::coroutine_handle<promise_type> handle;
   };
-  // Forgets a coroutine that has ended, and frees it.
-  struct Ending {
+  // Removes a finished coroutine from the scope and frees it.
+  struct FinalAwaiter {
     bool await_ready() const noexcept { return false; }
-    void await_suspend(std::coroutine_handle<Root::promise_type> ended) const noexcept;
+    void await_suspend(std::coroutine_handle<Root::promise_type> finished) const noexcept;
     void await_resume() const noexcept {}
   };
 
-  static Root run(TaskScope* scope, std::uint64_t number, Task<void> task);
+  static Root run(TaskScope* scope, std::uint64_t task_number, Task<void> task);
 
-  std::uint64_t next_number_ = 0;
-  std::map<std::uint64_t, std::coroutine_handle<>> running_;  // in the order of spawning
+  std::uint64_t next_task_number_ = 0;
+  std::map<std::uint64_t, std::coroutine_handle<>> running_;  // by task number, so in order of spawning
 };
 
 struct TaskScope::Root::promise_type {
-  promise_type(TaskScope* owner, std::uint64_t task_number, Task<void>& /*task*/)
-      : scope(owner), number(task_number) {}
+  promise_type(TaskScope* owning_scope, std::uint64_t assigned_number, Task<void>& /*task*/)
+      : scope(owning_scope), task_number(assigned_number) {}
   Root get_return_object() { return {std::coroutine_handle<promise_type>::from_promise(*this)}; }
   std::suspend_always initial_suspend() const noexcept { return {}; }
-  Ending final_suspend() const noexcept { return {}; }
+  FinalAwaiter final_suspend() const noexcept { return {}; }
   void return_void() const noexcept {}
   void unhandled_exception() const noexcept { std::terminate(); }
 
   TaskScope* scope;
-  std::uint64_t number;
+  std::uint64_t task_number;
 };
 
-inline void TaskScope::Ending::await_suspend(std::coroutine_handle<Root::promise_type> ended) const noexcept {
-  ended.promise().scope->running_.erase(ended.promise().number);
-  ended.destroy();
+inline void TaskScope::FinalAwaiter::await_suspend(
+    std::coroutine_handle<Root::promise_type> finished) const noexcept {
+  finished.promise().scope->running_.erase(finished.promise().task_number);
+  finished.destroy();
 }
 
 inline void TaskScope::spawn(Task<void> task) {
-  const std::uint64_t number = next_number_++;
-  const Root root = run(this, number, std::move(task));
-  running_.emplace(number, root.handle);
+  const std::uint64_t task_number = next_task_number_++;
+  const Root root = run(this, task_number, std::move(task));
+  running_.emplace(task_number, root.handle);
   root.handle.resume();
 }
 
-// The promise takes the first two parameters.
-inline TaskScope::Root TaskScope::run(TaskScope* /*scope*/, std::uint64_t /*number*/, Task<void> task) {
+// The unnamed parameters are used by the constructor of the promise.
+inline TaskScope::Root TaskScope::run(TaskScope* /*scope*/, std::uint64_t /*task_number*/, Task<void> task) {
   co_await task;
 }
 
--- a/src/net/wake_up.hpp
+++ b/src/net/wake_up.hpp
@@ -1,4 +1,4 @@
-// A notification for a coroutine that waits for work, with a timeout.
+// A notification that a coroutine can wait for with a timeout.
 #pragma once
 
 #include <coroutine>
@@ -9,8 +9,9 @@
 
 namespace dockdyke::net {
 
-// Wakes one waiting coroutine. A notification while nobody waits is remembered and ends the next wait at
-// once; several count as one. The object and the loop must outlive the wait.
+// Wakes one waiting coroutine, like an auto-reset event. A notification without a waiting coroutine is kept
+// and ends the next wait immediately; several such notifications count as one. The WakeUp and the loop must
+// outlive the wait.
 class WakeUp {
  public:
   explicit WakeUp(Loop& loop) : loop_(&loop) {}
@@ -23,7 +24,7 @@
     loop_->post(std::exchange(waiting_, {}));
   }
 
-  // Awaited, returns after a notification or when the time has passed.
+  // Returns an awaitable that resumes the coroutine on notification or when the timeout has elapsed.
   auto wait_for(Duration timeout) { return Awaiter(*this, timeout); }
 
  private:
@@ -39,9 +40,9 @@
     void await_suspend(std::coroutine_handle<> waiting) {
       suspended_ = waiting;
       wake_up_.waiting_ = waiting;
-      wake_up_.timer_ = wake_up_.loop_->at(wake_up_.loop_->now() + timeout_, [source = &wake_up_] {
-        source->timer_.reset();
-        if (source->waiting_) std::exchange(source->waiting_, {}).resume();
+      wake_up_.timer_ = wake_up_.loop_->call_at(wake_up_.loop_->now() + timeout_, [wake_up = &wake_up_] {
+        wake_up->timer_.reset();
+        if (wake_up->waiting_) std::exchange(wake_up->waiting_, {}).resume();
       });
     }
     void await_resume() noexcept {
@@ -50,7 +51,7 @@
     }
 
    private:
-    // The coroutine is destroyed while it waits, or after it was posted.
+    // Deregisters a coroutine that is destroyed while it waits, or after it was posted but before it resumed.
     void cancel_wait() {
       if (wake_up_.waiting_) {
         wake_up_.waiting_ = {};
--- a/src/store/rate_limiter.cpp
+++ b/src/store/rate_limiter.cpp
@@ -84,7 +84,7 @@
   timer_set_ = true;
   const double needed = std::min(queue_.begin()->second.cost, tokens_per_second_);
   const double delay_s = std::max(kMinServingDelay, (needed - tokens_) / tokens_per_second_);
-  loop_.at(loop_.now() + net::seconds(delay_s), [this] {
+  loop_.call_at(loop_.now() + net::seconds(delay_s), [this] {
     timer_set_ = false;
     serve_queue();
   });
--- a/tests/app/controller_test.cpp
+++ b/tests/app/controller_test.cpp
@@ -65,7 +65,7 @@
     const auto end = net::Clock::now() + net::seconds(limit_s);
     while (!condition()) {
       if (net::Clock::now() > end) return false;
-      loop.turn(std::chrono::milliseconds(5));
+      loop.run_once(std::chrono::milliseconds(5));
     }
     return true;
   }
@@ -506,7 +506,7 @@
   ASSERT_TRUE(until([&] { return follower.leader() == "dyke-0" && ready(follower); }));
   for (int i = 0; i < 20; ++i) submit(leader, job_spec("job-" + std::to_string(i), 1));
   // The fakes answer within one turn of the loop; the leader's state is written in the next ones.
-  for (int i = 0; i < 5; ++i) loop.turn(std::chrono::milliseconds(5));
+  for (int i = 0; i < 5; ++i) loop.run_once(std::chrono::milliseconds(5));
   std::size_t reads = 0;
   network.inject_fault = [&](auto&, auto& target) {
     reads += target.starts_with("/store") || target == "/txn";
@@ -598,7 +598,7 @@
   for (std::size_t i = 0; i < answers.size(); ++i)
     net::spawn(send(&controller, "POST", "/work",
                     wire::encode(wire::to_json(job_spec("job-" + std::to_string(i), 1))), &answers[i]));
-  loop.turn(std::chrono::milliseconds(1));
+  loop.run_once(std::chrono::milliseconds(1));
   std::size_t refused = 0;
   for (const auto& each : answers)
     if (each && each->status == 503 && each->retry_after_s) ++refused;
--- a/tests/app/poll_batcher_test.cpp
+++ b/tests/app/poll_batcher_test.cpp
@@ -49,10 +49,10 @@
   }
   void run(double s) {
     const auto end = loop.now() + net::seconds(s);
-    while (loop.now() < end) loop.turn(end - loop.now());
+    while (loop.now() < end) loop.run_once(end - loop.now());
   }
 
-  net::Loop loop{net::Loop::Time::simulated};
+  net::Loop loop{net::Loop::TimeSource::simulated};
   app::PollBatcher batcher;
   std::optional<int> leader_status;
   net::TimePoint last_read_at;
--- a/tests/net/http_parser_test.cpp
+++ b/tests/net/http_parser_test.cpp
@@ -1,4 +1,4 @@
-// Reading of HTTP messages, valid and malformed, and writing of responses.
+// Tests parsing of valid and malformed HTTP messages and serialization of responses.
 #include "net/http_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -12,28 +12,28 @@
 
 using net::HttpParser;
 
-TEST(Http, RequestIsReadTheSameHoweverItsBytesArrive) {
+TEST(HttpParserTest, ParsesRequestsFedByteByByte) {
   const std::string bytes =
       "POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET /healthz HTTP/1.1\r\n\r\n";
   HttpParser parser(HttpParser::Kind::request, 100);
-  std::vector<net::HttpMessage> got;
+  std::vector<net::HttpMessage> requests;
   for (char byte : bytes) {
     EXPECT_EQ(parser.feed({&byte, 1}), 1u);
-    if (parser.complete()) got.push_back(parser.take());
+    if (parser.complete()) requests.push_back(parser.take_message());
   }
-  ASSERT_EQ(got.size(), 2u);
-  EXPECT_EQ(got[0].body, "hello");
-  EXPECT_EQ(got[1].target, "/healthz");
+  ASSERT_EQ(requests.size(), 2u);
+  EXPECT_EQ(requests[0].body, "hello");
+  EXPECT_EQ(requests[1].target, "/healthz");
 }
 
-TEST(Http, ChunkedBodyIsJoined) {
+TEST(HttpParserTest, JoinsChunkedBody) {
   HttpParser parser(HttpParser::Kind::response, 100);
   parser.feed("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
   ASSERT_TRUE(parser.complete());
-  EXPECT_EQ(parser.take().body, "abcde");
+  EXPECT_EQ(parser.take_message().body, "abcde");
 }
 
-TEST(Http, MalformedMessagesGetTheStatusOfTheirError) {
+TEST(HttpParserTest, MalformedRequestYieldsErrorStatus) {
   auto error_of = [](const std::string& bytes) {
     HttpParser parser(HttpParser::Kind::request, 64);
     parser.feed(bytes);
@@ -53,7 +53,7 @@
   EXPECT_EQ(error_of("GET / HTTP/1.1\r\n\r\n"), 0);
 }
 
-TEST(Http, RefusalCarriesRetryAfter) {
+TEST(HttpParserTest, SerializesRetryAfterAndConnectionClose) {
   const auto bytes = net::serialize({503, {}, 1}, false);
   EXPECT_NE(bytes.find("503 Service Unavailable"), std::string::npos);
   EXPECT_NE(bytes.find("Retry-After: 1\r\n"), std::string::npos);
--- a/tests/net/socket_test.cpp
+++ b/tests/net/socket_test.cpp
@@ -1,4 +1,4 @@
-// Sockets on the loopback address: how each way in which a connection can fail is reported.
+// Tests sockets on the loopback address and the status reported for each kind of failure.
 #include "net/socket.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 using net::IoStatus;
 
-// A peer that listens on a port of the system's choice and does nothing unless it is told to.
+// Listens on a free loopback port; tests accept connections and act as the peer explicitly.
 class SocketTest : public ::testing::Test {
  protected:
   SocketTest() : listener(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -43,19 +43,19 @@
     sent = co_await connection->socket->write_all(bytes, loop.now() + std::chrono::seconds(2));
   }
 
-  // Runs the loop until the result is there, and returns it.
+  // Starts the task, runs the loop until the task has set `result`, and removes and returns the result.
   template <class T>
-  T result_of(net::Task<void> task, std::optional<T>& result) {
+  T run_until_result(net::Task<void> task, std::optional<T>& result) {
     net::spawn(std::move(task));
     const auto end = net::Clock::now() + std::chrono::seconds(5);
-    while (!result && net::Clock::now() < end) loop.turn(std::chrono::milliseconds(5));
+    while (!result && net::Clock::now() < end) loop.run_once(std::chrono::milliseconds(5));
     EXPECT_TRUE(result);
     return result ? *std::exchange(result, std::nullopt) : T{};
   }
   void connect_and_accept() {
     net::spawn(connect());
     const auto end = net::Clock::now() + std::chrono::seconds(5);
-    while (!connection && net::Clock::now() < end) loop.turn(std::chrono::milliseconds(5));
+    while (!connection && net::Clock::now() < end) loop.run_once(std::chrono::milliseconds(5));
     ASSERT_TRUE(connection && connection->socket);
     accepted = net::FileDescriptor(::accept(listener.get(), nullptr, nullptr));
     ASSERT_TRUE(accepted.valid());
@@ -73,49 +73,49 @@
 
 }  // namespace
 
-TEST_F(SocketTest, ConnectionToAClosedPortIsRefused) {
+TEST_F(SocketTest, ConnectToClosedPortIsRefused) {
   listener = net::FileDescriptor();
   net::spawn(connect());
   const auto end = net::Clock::now() + std::chrono::seconds(5);
-  while (!connection && net::Clock::now() < end) loop.turn(std::chrono::milliseconds(5));
+  while (!connection && net::Clock::now() < end) loop.run_once(std::chrono::milliseconds(5));
   ASSERT_TRUE(connection);
   EXPECT_FALSE(connection->socket);
   EXPECT_EQ(connection->result.status, IoStatus::refused);
   EXPECT_EQ(connection->result.error_number, ECONNREFUSED);
 }
 
-TEST_F(SocketTest, BytesArrive) {
+TEST_F(SocketTest, TransfersBytesInBothDirections) {
   connect_and_accept();
-  const net::IoResult written = result_of(write("hello"), sent);
+  const net::IoResult written = run_until_result(write("hello"), sent);
   EXPECT_EQ(written.status, IoStatus::ok);
   EXPECT_EQ(written.size, 5u);
   EXPECT_EQ(::recv(accepted.get(), buffer.data(), buffer.size(), 0), 5);
   EXPECT_EQ(::send(accepted.get(), "you", 3, 0), 3);
-  const net::IoResult read_back = result_of(read(std::chrono::seconds(2)), received);
+  const net::IoResult read_back = run_until_result(read(std::chrono::seconds(2)), received);
   EXPECT_EQ(read_back.status, IoStatus::ok);
   EXPECT_EQ(std::string(buffer.data(), read_back.size), "you");
 }
 
-TEST_F(SocketTest, SilenceOfThePeerIsATimeout) {
+TEST_F(SocketTest, ReadWithoutDataTimesOut) {
   connect_and_accept();
-  const net::IoResult result = result_of(read(std::chrono::milliseconds(20)), received);
+  const net::IoResult result = run_until_result(read(std::chrono::milliseconds(20)), received);
   EXPECT_EQ(result.status, IoStatus::timeout);
   EXPECT_EQ(result.error_number, 0);
 }
 
-TEST_F(SocketTest, AnOrderlyEndIsToldFromABrokenConnection) {
+TEST_F(SocketTest, DistinguishesCloseFromReset) {
   connect_and_accept();
   accepted = net::FileDescriptor();
-  EXPECT_EQ(result_of(read(std::chrono::seconds(2)), received).status, IoStatus::closed);
+  EXPECT_EQ(run_until_result(read(std::chrono::seconds(2)), received).status, IoStatus::closed);
 
   connection.reset();
   connect_and_accept();
   const linger reset_on_close{1, 0};
   ASSERT_EQ(::setsockopt(accepted.get(), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close), 0);
   accepted = net::FileDescriptor();
-  const net::IoResult broken = result_of(read(std::chrono::seconds(2)), received);
-  EXPECT_EQ(broken.status, IoStatus::reset);
-  EXPECT_EQ(broken.error_number, ECONNRESET);
+  const net::IoResult after_reset = run_until_result(read(std::chrono::seconds(2)), received);
+  EXPECT_EQ(after_reset.status, IoStatus::reset);
+  EXPECT_EQ(after_reset.error_number, ECONNRESET);
 }
 
 }  // namespace dockdyke::testing
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -223,10 +223,10 @@
   }
   void run(double s) {
     const auto end = loop.now() + net::seconds(s);
-    while (loop.now() < end) loop.turn(end - loop.now());
+    while (loop.now() < end) loop.run_once(end - loop.now());
   }
 
-  net::Loop loop{net::Loop::Time::simulated};
+  net::Loop loop{net::Loop::TimeSource::simulated};
   Service service{loop};
   store::StateClient client{loop, service, net::Address{1, 1}, {1000, 20, 15}};
   int seen = 0;
--- a/tests/store/rate_limiter_test.cpp
+++ b/tests/store/rate_limiter_test.cpp
@@ -22,7 +22,7 @@
   net::spawn(acquire("impatient", 4, store::RequestPriority::background, 0.02));
   net::spawn(acquire("important", 4, store::RequestPriority::high, 5));
   const auto end = net::Clock::now() + std::chrono::seconds(3);
-  while (finished.size() < 4 && net::Clock::now() < end) loop.turn(std::chrono::milliseconds(5));
+  while (finished.size() < 4 && net::Clock::now() < end) loop.run_once(std::chrono::milliseconds(5));
   EXPECT_EQ(finished, (std::vector<std::string>{"first", "impatient timed out", "important", "background"}));
 }
 
--- a/tests/store/service_clients_test.cpp
+++ b/tests/store/service_clients_test.cpp
@@ -63,7 +63,7 @@
     return outcome.value_or(Outcome::ok);
   }
 
-  net::Loop loop{net::Loop::Time::simulated};
+  net::Loop loop{net::Loop::TimeSource::simulated};
   FixedTransport transport;
   store::StateClient state{loop, transport, net::Address{1, 1}, {1000, 1000, 0}};
   cloud::CloudClient cloud{loop, transport, net::Address{1, 2}, 1000};
--- a/tests/support/simulation.cpp
+++ b/tests/support/simulation.cpp
@@ -16,7 +16,7 @@
 void Simulation::run(double s) {
   const auto end = loop.now() + net::seconds(s);
   while (loop.now() < end) {
-    loop.turn(end - loop.now());
+    loop.run_once(end - loop.now());
     if (::testing::Test::HasFailure()) return;  // the first breach tells most
   }
 }
@@ -25,7 +25,7 @@
   const auto end = loop.now() + net::seconds(most_s);
   while (!condition()) {
     if (loop.now() >= end || ::testing::Test::HasFailure()) return false;
-    loop.turn(std::min<net::Duration>(net::seconds(0.1), end - loop.now()));
+    loop.run_once(std::min<net::Duration>(net::seconds(0.1), end - loop.now()));
   }
   return true;
 }
@@ -36,7 +36,7 @@
   net::spawn(be_user(this, id));
   if (cancel_after_s) {
     auto timer = [this, id] { cancel(id); };
-    loop.at(loop.now() + net::seconds(*cancel_after_s), timer);
+    loop.call_at(loop.now() + net::seconds(*cancel_after_s), timer);
   }
 }
 
@@ -62,7 +62,7 @@
   inject_fault("", "store", Link::refuse, for_s);
   const auto end = loop.now() + net::seconds(for_s);
   outage_until_ = std::max(outage_until_, end);
-  loop.at(end, [this] {
+  loop.call_at(end, [this] {
     if (loop.now() >= outage_until_) store.outage_over();
   });
 }
@@ -73,7 +73,7 @@
   spdlog::debug("simulation t={:.1f} {} ends, back in {:.1f}", time(), host(number), back_s);
   ended_.insert(seat.process);
   seat.controller = nullptr;
-  loop.at(loop.now() + net::seconds(back_s), [this, number] { start_controller(number); });
+  loop.call_at(loop.now() + net::seconds(back_s), [this, number] { start_controller(number); });
 }
 
 std::optional<int> Simulation::leader() const {
@@ -130,7 +130,7 @@
         each->tasks.clear();
       }
   };
-  loop.at(worker.taken_at, timer);
+  loop.call_at(worker.taken_at, timer);
 }
 
 void Simulation::expect_all_served(double target_s) {
--- a/tests/support/simulation.hpp
+++ b/tests/support/simulation.hpp
@@ -76,7 +76,7 @@
   std::string unfinished() const;
   void expect_answered_lately();
 
-  net::Loop loop{net::Loop::Time::simulated};
+  net::Loop loop{net::Loop::TimeSource::simulated};
   FakeState store;
   // Requests for this target never arrive.
   std::string lost_target;
