--- a/src/app/held_responses.cpp
+++ b/src/app/held_responses.cpp
@@ -39,7 +39,7 @@
     if (signalled) continue;
     // A newer heartbeat of the machine may have replaced the entry during the wait.
     if (const auto entry = release_signals_.find(machine);
-        entry != release_signals_.end() && entry->second.same(release_signal))
+        entry != release_signals_.end() && entry->second.shares_state_with(release_signal))
       release_signals_.erase(entry);
   }
 }
--- a/tests/app/controller_test.cpp
+++ b/tests/app/controller_test.cpp
@@ -66,7 +66,7 @@
     const auto deadline = net::Clock::now() + net::seconds(limit_s);
     while (!condition()) {
       if (net::Clock::now() > deadline) return false;
-      loop.turn(std::chrono::milliseconds(5));
+      loop.run_once(std::chrono::milliseconds(5));
     }
     return true;
   }
@@ -518,7 +518,7 @@
   ASSERT_TRUE(run_until([&] { return follower.leader() == "dyke-0" && is_healthy(follower); }));
   for (int i = 0; i < 20; ++i) submit(leader, job_spec("job-" + std::to_string(i), 1));
   // Lets the leader write its state, which takes a few iterations of the loop.
-  for (int i = 0; i < 5; ++i) loop.turn(std::chrono::milliseconds(5));
+  for (int i = 0; i < 5; ++i) loop.run_once(std::chrono::milliseconds(5));
   std::size_t reads = 0;
   network.inject_fault = [&](auto&, auto& target) {
     reads += target.starts_with("/store") || target == "/txn";
@@ -614,7 +614,7 @@
     net::spawn(handle_request(&controller, "POST", "/work",
                               wire::encode(wire::to_json(job_spec("job-" + std::to_string(i), 1))),
                               &responses[i]));
-  loop.turn(std::chrono::milliseconds(1));
+  loop.run_once(std::chrono::milliseconds(1));
   std::size_t refused = 0;
   for (const auto& response : responses)
     if (response && response->status == 503 && response->retry_after_s) ++refused;
--- a/tests/app/poll_batcher_test.cpp
+++ b/tests/app/poll_batcher_test.cpp
@@ -51,10 +51,10 @@
   }
   void run_for(double duration_s) {
     const auto end = loop.now() + net::seconds(duration_s);
-    while (loop.now() < end) loop.turn(end - loop.now());
+    while (loop.now() < end) loop.run_once(end - loop.now());
   }
 
-  net::Loop loop{net::Loop::Time::simulated};
+  net::Loop loop{net::Loop::TimeSource::simulated};
   app::PollBatcher batcher;
   std::optional<int> leader_status;     // std::nullopt: the leader does not respond
   net::TimePoint last_read_started_at;  // of the last finished read
--- a/tests/store/rate_limiter_test.cpp
+++ b/tests/store/rate_limiter_test.cpp
@@ -22,7 +22,7 @@
   net::spawn(acquire("short deadline", 4, store::RequestPriority::background, 0.02));
   net::spawn(acquire("high priority", 4, store::RequestPriority::high, 5));
   const auto deadline = net::Clock::now() + std::chrono::seconds(3);
-  while (finished.size() < 4 && net::Clock::now() < deadline) loop.turn(std::chrono::milliseconds(5));
+  while (finished.size() < 4 && net::Clock::now() < deadline) loop.run_once(std::chrono::milliseconds(5));
   EXPECT_EQ(finished,
             (std::vector<std::string>{"first", "short deadline timed out", "high priority", "background"}));
 }
