--- a/tests/scenarios/cancelled_task_test.cpp
+++ b/tests/scenarios/cancelled_task_test.cpp
@@ -1,5 +1,5 @@
-// Cancelled tasks whose workers and leaders lose each other: that they are gone within their time is checked
-// by the simulation throughout.
+// Scenarios in which workers with cancelled tasks lose contact with a series of short-lived leaders. The
+// simulation itself checks that each cancelled task ends before its cancellation deadline.
 #include <gtest/gtest.h>
 
 #include "simulation.hpp"
@@ -10,63 +10,63 @@
 
 constexpr int kControllers = 5;
 constexpr std::uint64_t kSeeds = 4;
-constexpr int kJobs = 16;  // each on a machine of its own
+constexpr int kJobs = 16;  // each fills one machine
 
-// Plays faults at fixed seconds of the simulated time.
+// Injects faults at fixed seconds of simulated time.
 class Timeline {
  public:
-  explicit Timeline(Simulation& simulation) : simulation_(simulation), began_(simulation.loop.now()) {}
+  explicit Timeline(Simulation& simulation) : simulation_(simulation), started_at_(simulation.loop.now()) {}
 
-  void run_until(double second) { simulation_.run(second - seconds_between(began_, simulation_.loop.now())); }
+  void run_until(double second) {
+    simulation_.run(second - seconds_between(started_at_, simulation_.loop.now()));
+  }
+  // Returns the number of the leader, waiting up to 5 s for an election, or 0 if there is none.
   int leader() {
     simulation_.run_until([this] { return simulation_.leader().has_value(); }, 5);
     return simulation_.leader().value_or(0);
   }
   int follower() { return (leader() + 1) % kControllers; }
-  void restart_all() {
+  void restart_all_controllers() {
     for (int i = 0; i < kControllers; ++i) simulation_.crash(i, simulation_.random(4, 6));
   }
   void restart_leader() { simulation_.crash(leader(), 6); }
-  void cut_leader_from_store(Link link, double for_s) {
-    simulation_.inject_fault(Simulation::host(leader()), "store", link, for_s);
+  void disrupt_leader_state_service_link(Link fault, double duration_s) {
+    simulation_.inject_fault(Simulation::host(leader()), "store", fault, duration_s);
   }
 
  private:
   Simulation& simulation_;
-  net::TimePoint began_;
+  net::TimePoint started_at_;
 };
 
-void start_long_jobs(Simulation& simulation, int jobs) {
-  for (int i = 0; i < jobs; ++i) simulation.submit(long_job_spec("job-" + std::to_string(i), 2));
-  const bool running = simulation.run_until(
+// Submits the jobs and waits until all of their tasks are on machines.
+void start_long_jobs(Simulation& simulation, int job_count) {
+  for (int i = 0; i < job_count; ++i) simulation.submit(long_job_spec("job-" + std::to_string(i), 2));
+  const bool all_running = simulation.run_until(
       [&] {
-        for (int i = 0; i < jobs; ++i)
+        for (int i = 0; i < job_count; ++i)
           if (simulation.tasks_on_machines("job-" + std::to_string(i)) < 2) return false;
         return true;
       },
       40);
-  ASSERT_TRUE(running);
+  ASSERT_TRUE(all_running);
 }
 
 }  // namespace
 
-// A task of a job that was cancelled at 52.9 s still ran at 127.9 s, when its 75 s were over. In these 75 s
-// its worker took two answers, at 72.71 s (token 317) and at 90.98 s (token 376), each the first one of a
-// leader that had just begun. Both renewed the worker's lease for 45 s and neither carried the stop, since a
-// leader gave no commands to a worker that had not yet shown its token, although the second one had loaded
-// the cancellation at 88.06 s. From 95 s on the worker reached no controller, and its lease lasted until 136
-// s.
-TEST(CancelledTask, IsStoppedByTheFirstAnswerOfEachLeader) {
+// Guards against a leader whose first response renews a worker's lease without the stop command of a
+// cancelled task. With a series of short-lived leaders, the task would run past its cancellation deadline.
+TEST(CancelledTask, StopCommandIsInFirstResponseOfEachLeader) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed, .controllers = kControllers, .config = slow_heartbeat_config()});
     Timeline timeline(simulation);
     start_long_jobs(simulation, kJobs);
     timeline.run_until(44);
-    timeline.restart_all();
+    timeline.restart_all_controllers();
     simulation.inject_fault("dyke", "dyke", Link::lose_request, 31);
     timeline.run_until(52);
-    timeline.cut_leader_from_store(Link::hold, 6);
+    timeline.disrupt_leader_state_service_link(Link::hold, 6);
     timeline.run_until(52.9);
     for (int i = 1; i < kJobs; ++i) simulation.cancel("job-" + std::to_string(i), timeline.follower());
     timeline.run_until(59);
@@ -76,9 +76,9 @@
     timeline.run_until(73);
     timeline.restart_leader();
     timeline.run_until(82);
-    timeline.restart_all();
+    timeline.restart_all_controllers();
     timeline.run_until(90);
-    timeline.cut_leader_from_store(Link::hold, 5);
+    timeline.disrupt_leader_state_service_link(Link::hold, 5);
     timeline.run_until(95);
     for (auto* worker : simulation.workers_up())
       simulation.inject_fault(worker->id, "dyke", Link::lose_request, 60);
@@ -87,37 +87,35 @@
     timeline.run_until(102);
     timeline.restart_leader();
     timeline.run_until(121);
-    timeline.cut_leader_from_store(Link::refuse, 10);
+    timeline.disrupt_leader_state_service_link(Link::refuse, 10);
     timeline.run_until(140);
     if (HasFailure()) return;
-    EXPECT_TRUE(simulation.job("job-1").cancelled_at) << "the scenario needs the confirmation";
+    EXPECT_TRUE(simulation.job("job-1").cancelled_at) << "the scenario requires a confirmed cancellation";
   }
 }
 
-// In the same incident no machine with a cancelled task was deleted before the first leader that lasted: the
-// first deletion went out at 151 s. The leader elected at 108.81 s had until 127.9 s and heard nothing of the
-// machine, but counted its silence from the moment at which the cloud's list named it, and waited for 17.6 s
-// of it; from 121 s on the state service refused it. Its successor began to count anew.
-TEST(CancelledTask, GoesWithItsMachineThatNoLeaderHasHeard) {
+// Guards against a leader that measures the time since a machine's last heartbeat from its own first machine
+// list. With a series of short-lived leaders, none would delete a hung machine that holds a cancelled task.
+TEST(CancelledTask, MachineIsDeletedWhenNoLeaderReceivesItsHeartbeats) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed, .controllers = kControllers, .config = slow_heartbeat_config()});
     Timeline timeline(simulation);
     start_long_jobs(simulation, 3);
     timeline.run_until(44);
-    const auto holders = simulation.workers_of("job-0");
-    for (auto* worker : holders) simulation.hang(*worker, 200);
+    const auto hung_workers = simulation.workers_of("job-0");
+    for (auto* worker : hung_workers) simulation.hang(*worker, 200);
     timeline.run_until(52.9);
     simulation.cancel("job-0");
     timeline.run_until(82);
-    timeline.restart_all();
+    timeline.restart_all_controllers();
     timeline.run_until(102);
     timeline.restart_leader();
     timeline.run_until(121);
-    timeline.cut_leader_from_store(Link::refuse, 10);
+    timeline.disrupt_leader_state_service_link(Link::refuse, 10);
     timeline.run_until(127.8);
     if (HasFailure()) return;
-    for (const auto* worker : holders) EXPECT_TRUE(worker->gone_at) << worker->id;
+    for (const auto* worker : hung_workers) EXPECT_TRUE(worker->gone_at) << worker->id;
   }
 }
 
--- a/tests/scenarios/fault_combination_test.cpp
+++ b/tests/scenarios/fault_combination_test.cpp
@@ -1,5 +1,5 @@
-// Scenarios in which two faults meet, played in simulated time against whole controllers. The simulation
-// checks every rule of PROTOCOL throughout; a scenario only has to bring its combination of faults about.
+// Scenarios that combine faults, run in simulated time against complete controllers. The simulation checks
+// the protocol's invariants throughout, so that a scenario only has to inject its faults.
 #include <gtest/gtest.h>
 
 #include "simulation.hpp"
@@ -8,103 +8,108 @@
 
 namespace {
 
-bool all_running(Simulation& simulation, const std::string& id) {
+// Returns true if a machine holds each task of the job.
+bool all_tasks_on_machines(Simulation& simulation, const std::string& id) {
   return simulation.tasks_on_machines(id) == simulation.job(id).spec.task_count;
 }
 
 }  // namespace
 
-TEST(SimulationItself, AQuietDayEnds) {
+TEST(SimulationTest, AllJobsFinishWithoutFaults) {
   Simulation simulation({.seed = 1});
   for (int i = 0; i < 6; ++i) simulation.submit(job_spec("job-" + std::to_string(i), 3));
   simulation.expect_all_served(150);
   EXPECT_EQ(simulation.starts(), 18u);
 }
 
-// ---- The first combination of faults
-// ------------------------------------------------------------------------------------
+// ---- Leader refused by the state service, then an outage ------------------------------------------------
 
-// The store refuses the leader alone; another controller confirms cancellations; then the store is out for
-// all, for longer than a cancellation has, while workers report to the old leader.
-struct Gap {
+// The state service refuses only the leader, another controller confirms cancellations, and then the state
+// service is unavailable to all controllers for longer than the cancellation timeout. Workers still send
+// heartbeats to the leader that missed the cancellations.
+struct RefusalThenOutage {
   const char* name;
-  double cancel_after_s;  // counted from when the store begins to refuse the leader
-  double outage_after_s;
-  bool hang = false;  // one of the machines hangs from the cancellation on
+  double cancel_after_s;      // since the state service began to refuse the leader
+  double outage_after_s;      // likewise
+  bool hang_machine = false;  // one machine with a cancelled task hangs at the cancellation
 };
 
-void PrintTo(const Gap& gap, std::ostream* out) {
-  *out << gap.name;
+void PrintTo(const RefusalThenOutage& faults, std::ostream* out) {
+  *out << faults.name;
 }
 
-class GapTest : public ::testing::TestWithParam<Gap> {};
+class RefusalThenOutageTest : public ::testing::TestWithParam<RefusalThenOutage> {};
 
-TEST_P(GapTest, CancelledTasksGoWithinTheirTime) {
-  const Gap gap = GetParam();
+TEST_P(RefusalThenOutageTest, CancelledTasksEndBeforeDeadline) {
+  const RefusalThenOutage faults = GetParam();
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
-    simulation.lost_target = peer::kCancelledPath;  // nothing may rest on that word
+    simulation.lost_target = peer::kCancelledPath;  // drop all notifications of cancellations
     for (int i = 0; i < 4; ++i) simulation.submit(long_job_spec("job-" + std::to_string(i), 2));
     ASSERT_TRUE(simulation.run_until(
-        [&] { return all_running(simulation, "job-0") && all_running(simulation, "job-3"); }, 60));
+        [&] {
+          return all_tasks_on_machines(simulation, "job-0") && all_tasks_on_machines(simulation, "job-3");
+        },
+        60));
     const int leader = *simulation.leader();
-    const int other = (leader + 1) % 3;
+    const int follower = (leader + 1) % 3;
     simulation.inject_fault(Simulation::host(leader), "store", Link::refuse, 8);
-    simulation.run(gap.cancel_after_s);
-    for (int i = 0; i < 3; ++i) simulation.cancel("job-" + std::to_string(i), other);
-    if (gap.hang) simulation.hang(*simulation.workers_of("job-0").at(0), 12);
-    simulation.run(gap.outage_after_s - gap.cancel_after_s);
+    simulation.run(faults.cancel_after_s);
+    for (int i = 0; i < 3; ++i) simulation.cancel("job-" + std::to_string(i), follower);
+    if (faults.hang_machine) simulation.hang(*simulation.workers_of("job-0").at(0), 12);
+    simulation.run(faults.outage_after_s - faults.cancel_after_s);
     simulation.outage(simulation.config().cancellation_timeout_s + 15);
     simulation.run(simulation.config().cancellation_timeout_s + 25);
     if (HasFailure()) return;
-    EXPECT_TRUE(simulation.job("job-0").cancelled_at) << "the story needs a confirmation before the outage";
+    EXPECT_TRUE(simulation.job("job-0").cancelled_at) << "the scenario requires a confirmed cancellation";
     EXPECT_EQ(simulation.tasks_on_machines("job-0"), 0u);
-    EXPECT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-3"); }, 60))
-        << "the work goes on";
+    EXPECT_TRUE(simulation.run_until([&] { return all_tasks_on_machines(simulation, "job-3"); }, 60))
+        << "job-3 was not cancelled and must keep running";
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Moments, GapTest,
-                         ::testing::Values(Gap{"AtOnce", 0.1, 2.0}, Gap{"InTheMiddle", 1.0, 2.0},
-                                           Gap{"LastMoment", 1.9, 2.0},
-                                           Gap{"LastMomentAndAHungMachine", 1.9, 2.0, true},
-                                           Gap{"JustBeforeTheLeadIsLost", 2.5, 3.2}),
+INSTANTIATE_TEST_SUITE_P(CancellationTimes, RefusalThenOutageTest,
+                         ::testing::Values(RefusalThenOutage{"CancelledAtRefusal", 0.1, 2.0},
+                                           RefusalThenOutage{"CancelledBetweenRefusalAndOutage", 1.0, 2.0},
+                                           RefusalThenOutage{"CancelledJustBeforeOutage", 1.9, 2.0},
+                                           RefusalThenOutage{"CancelledJustBeforeOutageWithHungMachine", 1.9,
+                                                             2.0, true},
+                                           RefusalThenOutage{"OutageJustBeforeLeaderLeaseExpires", 2.5, 3.2}),
                          [](const auto& each) { return each.param.name; });
 
-TEST(LeaderRefusedAlone, IsToldOfCancellationsByWhoeverConfirmsThem) {
+TEST(LeaderRefusedByStateService, IsNotifiedOfCancellationsByOtherControllers) {
   Simulation simulation({.seed = 1});
   simulation.submit(long_job_spec("job-1", 3));
-  ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+  ASSERT_TRUE(simulation.run_until([&] { return all_tasks_on_machines(simulation, "job-1"); }, 60));
   const int leader = *simulation.leader();
   simulation.inject_fault(Simulation::host(leader), "store", Link::refuse, 30);
   simulation.run(0.5);
   simulation.cancel("job-1", (leader + 1) % 3);
   ASSERT_TRUE(simulation.run_until([&] { return simulation.job("job-1").cancelled_at.has_value(); }, 2));
-  // Its own view is refused, and another can't lead before its lease is over.
+  // The leader can't read the cancellation, and no other controller can be elected before its lease expires:
+  // only the notification from the controller that confirmed the cancellation arrives in time.
   EXPECT_TRUE(simulation.run_until([&] { return simulation.tasks_on_machines("job-1") == 0; }, 2.6));
 }
 
-// ---- The other combinations of faults
-// -----------------------------------------------------------------------------------
+// ---- Other combinations of faults -------------------------------------------------------------------------
 
-// The usual work of these scenarios: short and long jobs, some bound to one zone or spread over several, and
-// a team that is at its limit.
-core::ClusterConfig limited_config() {
+core::ClusterConfig team_limit_config() {
   auto config = cluster_config();
   config.teams[1].quota.cpus = 16;
   return config;
 }
 
-void submit_usual_work(Simulation& simulation) {
+// Submits short and long jobs, some placed in one zone or spread over zones, and some of a team at its limit.
+void submit_mixed_workload(Simulation& simulation) {
   for (int i = 0; i < 4; ++i) {
     auto spec = job_spec("job-" + std::to_string(10 + i), 2 + static_cast<TaskIndex>(i));
     spec.estimated_run_s = 8 + 9 * i;
     simulation.submit(std::move(spec));
   }
-  auto bound = job_spec("job-20", 4);
-  bound.same_zone = true;
-  simulation.submit(std::move(bound));
+  auto same_zone = job_spec("job-20", 4);
+  same_zone.same_zone = true;
+  simulation.submit(std::move(same_zone));
   auto spread = job_spec("job-21", 5);
   spread.spread = true;
   simulation.submit(std::move(spread));
@@ -114,34 +119,35 @@
     spec.spot_allowed = i != 1;
     simulation.submit(std::move(spec));
   }
-  // Only a cancellation ends these.
+  // These end only when they are cancelled.
   for (int i = 0; i < 3; ++i) simulation.submit(long_job_spec("job-" + std::to_string(40 + i), 2));
 }
 
-// Until the long jobs run everywhere.
-void get_under_way(Simulation& simulation) {
-  submit_usual_work(simulation);
-  const bool running = simulation.run_until(
+// Submits the mixed workload and waits until all tasks of the long jobs are on machines.
+void start_mixed_workload(Simulation& simulation) {
+  submit_mixed_workload(simulation);
+  const bool long_jobs_running = simulation.run_until(
       [&] {
-        return all_running(simulation, "job-40") && all_running(simulation, "job-41") &&
-               all_running(simulation, "job-42");
+        return all_tasks_on_machines(simulation, "job-40") && all_tasks_on_machines(simulation, "job-41") &&
+               all_tasks_on_machines(simulation, "job-42");
       },
       90);
-  ASSERT_TRUE(running);
+  ASSERT_TRUE(long_jobs_running);
 }
 
 void cancel_long_jobs(Simulation& simulation, std::optional<int> controller = {}) {
   for (int i = 0; i < 3; ++i) simulation.cancel("job-" + std::to_string(40 + i), controller);
 }
 
-int leader_of(Simulation& simulation) {
+// Returns the number of the leader, waiting up to 30 s for an election, or 0 if there is none.
+int wait_for_leader(Simulation& simulation) {
   simulation.run_until([&] { return simulation.leader().has_value(); }, 30);
   return simulation.leader().value_or(0);
 }
 
 struct FaultCombination {
   const char* name;
-  void (*play)(Simulation& simulation);
+  void (*inject_faults)(Simulation& simulation);
 };
 
 void PrintTo(const FaultCombination& combination, std::ostream* out) {
@@ -150,13 +156,13 @@
 
 class FaultCombinationTest : public ::testing::TestWithParam<FaultCombination> {};
 
-TEST_P(FaultCombinationTest, KeepsTheRulesAndServesAllInTheEnd) {
+TEST_P(FaultCombinationTest, InvariantsHoldAndAllJobsFinish) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     SCOPED_TRACE(seed);
-    Simulation simulation({.seed = seed, .config = limited_config()});
-    get_under_way(simulation);
+    Simulation simulation({.seed = seed, .config = team_limit_config()});
+    start_mixed_workload(simulation);
     if (HasFailure()) return;
-    GetParam().play(simulation);
+    GetParam().inject_faults(simulation);
     if (HasFailure()) return;
     cancel_long_jobs(simulation);
     simulation.expect_all_served(200);
@@ -166,12 +172,13 @@
 }
 
 const FaultCombination kFaultCombinations[] = {
-    {"ReportHeldBackUntilANewLeaderHasActed",
+    {"HeartbeatsHeldUntilNewLeaderActs",
      [](Simulation& simulation) {
-       const int old_leader = leader_of(simulation);
-       for (int other = 0; other < 3; ++other)
-         if (other != old_leader) simulation.inject_fault("n-", Simulation::host(other), Link::hold, 9, 0.5);
-       simulation.crash(old_leader, 5);
+       const int previous_leader = wait_for_leader(simulation);
+       for (int follower = 0; follower < 3; ++follower)
+         if (follower != previous_leader)
+           simulation.inject_fault("n-", Simulation::host(follower), Link::hold, 9, 0.5);
+       simulation.crash(previous_leader, 5);
        simulation.run(4);
        cancel_long_jobs(simulation);
        simulation.run(30);
@@ -185,7 +192,7 @@
        cancel_long_jobs(simulation);
        simulation.run(40);
      }},
-    {"MoreWorkThanRoomOverSlowLinks",
+    {"DemandExceedsCapacityOverSlowLinks",
      [](Simulation& simulation) {
        simulation.capacity = 2;
        simulation.inject_fault("", "", Link::slow, 60);
@@ -199,7 +206,7 @@
        cancel_long_jobs(simulation);
        simulation.run(40);
      }},
-    {"ZoneBoundJobsLoseMachines",
+    {"ZoneConstrainedJobsLoseMachines",
      [](Simulation& simulation) {
        for (int i = 0; i < 3; ++i) {
          auto spec = job_spec("job-" + std::to_string(60 + i), 4);
@@ -211,42 +218,42 @@
        simulation.run(12);
        auto workers = simulation.workers_up();
        for (std::size_t i = 0; i < workers.size(); i += 2) simulation.die(*workers[i]);
-       simulation.crash(leader_of(simulation), 0.3);
+       simulation.crash(wait_for_leader(simulation), 0.3);
        simulation.run(30);
      }},
-    {"QuestionsMeetTheEndOfAJob",
+    {"RequestsWhileJobCompletes",
      [](Simulation& simulation) {
-       // Called off, asked about and submitted again through all controllers, all around the moment of its
-       // end.
-       for (int round = 0; round < 12; ++round) {
-         const std::string id = "job-" + std::to_string(100 + round);
+       // Cancellations, status requests and resubmissions arrive through all controllers around the moment at
+       // which the job completes.
+       for (int number = 0; number < 12; ++number) {
+         const std::string id = "job-" + std::to_string(100 + number);
          auto spec = job_spec(id, 2);
          spec.estimated_run_s = 4;
          simulation.submit(std::move(spec));
          simulation.run_until([&] { return simulation.job(id).completed.size() == 2; }, 60);
          simulation.run(simulation.random(0, 0.4));
-         if (round % 2 == 0) simulation.cancel(id, round % 3);
+         if (number % 2 == 0) simulation.cancel(id, number % 3);
          simulation.ask_again(id);
          simulation.run(0.05);
          simulation.ask_again(id);
        }
      }},
-    {"QuestionsMeetTheEndOfAJobWhoseRecordGetsNoAnswer",
+    {"RequestsWhileJobCompletesWithDelayedWrites",
      [](Simulation& simulation) {
        simulation.inject_fault("dyke", "store", Link::late_write, 60, 0.4);
-       for (int round = 0; round < 8; ++round) {
-         const std::string id = "job-" + std::to_string(100 + round);
+       for (int number = 0; number < 8; ++number) {
+         const std::string id = "job-" + std::to_string(100 + number);
          auto spec = job_spec(id, 2);
          spec.estimated_run_s = 4;
          simulation.submit(std::move(spec));
          simulation.run_until([&] { return simulation.job(id).completed.size() == 2; }, 60);
-         if (round % 2 == 0) simulation.cancel(id, round % 3);
+         if (number % 2 == 0) simulation.cancel(id, number % 3);
          simulation.ask_again(id);
          simulation.run(0.3);
          simulation.ask_again(id);
        }
      }},
-    {"TeamAtItsLimitChangesLeaderWithMachinesOutOfReach",
+    {"FailoverWithTeamAtLimitAndUnreachableMachines",
      [](Simulation& simulation) {
        for (int i = 0; i < 3; ++i) {
          auto spec = long_job_spec("job-" + std::to_string(70 + i), 2);
@@ -254,28 +261,32 @@
          simulation.submit(std::move(spec));
        }
        simulation.run_until(
-           [&] { return all_running(simulation, "job-70") && all_running(simulation, "job-71"); }, 120);
+           [&] {
+             return all_tasks_on_machines(simulation, "job-70") &&
+                    all_tasks_on_machines(simulation, "job-71");
+           },
+           120);
        for (auto* worker : simulation.workers_of("job-70"))
          simulation.inject_fault(worker->id, "dyke", Link::lose_request, 25);
        for (auto* worker : simulation.workers_of("job-71"))
          simulation.inject_fault(worker->id, "dyke", Link::lose_answer, 25);
-       simulation.crash(leader_of(simulation), 2);
+       simulation.crash(wait_for_leader(simulation), 2);
        simulation.run(1);
        for (int i = 0; i < 3; ++i) simulation.cancel("job-" + std::to_string(70 + i));
        simulation.run(40);
      }},
-    {"ZoneWithAControllerIsCutOffForLongerThanALease",
+    {"LeaderZonePartitionedLongerThanLease",
      [](Simulation& simulation) {
-       const int leader = leader_of(simulation);
-       const std::string inside = Simulation::host(leader);
-       for (const char* outside : {"store", "cloud", "dyke"})
-         simulation.inject_fault(inside, outside, Link::hold, 25);
+       const int leader = wait_for_leader(simulation);
+       const std::string partitioned_host = Simulation::host(leader);
+       for (const char* peer_host : {"store", "cloud", "dyke"})
+         simulation.inject_fault(partitioned_host, peer_host, Link::hold, 25);
        for (int i = 0; i < 3; ++i)
-         if (i != leader) simulation.inject_fault(Simulation::host(i), inside, Link::hold, 25);
-       simulation.inject_fault("user", inside, Link::hold, 25);
+         if (i != leader) simulation.inject_fault(Simulation::host(i), partitioned_host, Link::hold, 25);
+       simulation.inject_fault("user", partitioned_host, Link::hold, 25);
        for (auto* worker : simulation.workers_up()) {
          if (worker->zone != "a") {
-           simulation.inject_fault(worker->id, inside, Link::hold, 25);
+           simulation.inject_fault(worker->id, partitioned_host, Link::hold, 25);
          } else {
            for (int i = 0; i < 3; ++i)
              if (i != leader) simulation.inject_fault(worker->id, Simulation::host(i), Link::hold, 25);
@@ -285,7 +296,7 @@
        cancel_long_jobs(simulation, (leader + 1) % 3);
        simulation.run(50);
      }},
-    {"TransactionsAreCarriedOutLate",
+    {"TransactionsExecutedAfterDelay",
      [](Simulation& simulation) {
        simulation.inject_fault("dyke", "store", Link::late_write, 60, 0.3);
        for (int i = 0; i < 8; ++i) {
@@ -295,39 +306,39 @@
          simulation.run(4);
        }
        cancel_long_jobs(simulation);
-       simulation.crash(leader_of(simulation), 1);
+       simulation.crash(wait_for_leader(simulation), 1);
        simulation.run(25);
      }},
-    {"AllControllersAreAwayForLongerThanALease",
+    {"AllControllersDownLongerThanLease",
      [](Simulation& simulation) {
        cancel_long_jobs(simulation);
        simulation.run(0.02);
        for (int i = 0; i < 3; ++i) simulation.crash(i, 14);
        simulation.run(30);
      }},
-    {"OldReportsArriveAfterNewerOnes",
+    {"StaleHeartbeatsArriveAfterNewerOnes",
      [](Simulation& simulation) {
        simulation.inject_fault("n-", "dyke", Link::late_copy, 50, 0.4);
        simulation.run(5);
        for (auto* worker : simulation.workers_of("job-40"))
          simulation.inject_fault(worker->id, "dyke", Link::lose_answer, 14);
        simulation.run(5);
-       simulation.crash(leader_of(simulation), 1);
+       simulation.crash(wait_for_leader(simulation), 1);
        simulation.run(15);
        cancel_long_jobs(simulation);
-       simulation.crash(leader_of(simulation), 1);
+       simulation.crash(wait_for_leader(simulation), 1);
        simulation.run(30);
      }},
-    {"TenLeadersInTwoMinutesAndAnOutage",
+    {"TenFailoversInTwoMinutesWithStateServiceOutage",
      [](Simulation& simulation) {
        for (int i = 0; i < 10; ++i) {
          if (i == 4) simulation.outage(20);
          if (i == 6) cancel_long_jobs(simulation);
-         simulation.crash(leader_of(simulation), simulation.random(0.1, 6));
+         simulation.crash(wait_for_leader(simulation), simulation.random(0.1, 6));
          simulation.run(11);
        }
      }},
-    {"CommandsAreHeldUpAndMachinesGoOn",
+    {"MachinesHangAndResumeOverSlowLinks",
      [](Simulation& simulation) {
        for (int i = 0; i < 4; ++i) {
          auto workers = simulation.workers_up();
@@ -338,34 +349,37 @@
          simulation.run(8);
        }
      }},
-    {"CancelledTasksOnMachinesThatHangForLong",
+    {"CancelledTasksOnMachinesHungPastDeadline",
      [](Simulation& simulation) {
-       // Their leases run out, but until they go on or are deleted the tasks are on them.
-       const auto hung = simulation.workers_of("job-40");
-       for (auto* worker : hung) simulation.hang(*worker, simulation.config().cancellation_timeout_s + 20);
+       // The leases of the hung machines expire, but the tasks stay on a machine until it resumes or is
+       // deleted.
+       const auto hung_workers = simulation.workers_of("job-40");
+       for (auto* worker : hung_workers)
+         simulation.hang(*worker, simulation.config().cancellation_timeout_s + 20);
        simulation.run(1);
        cancel_long_jobs(simulation);
        simulation.run(8);
-       simulation.crash(leader_of(simulation), 3);
-       simulation.cloud_out = true;  // the cloud refuses at first, too
+       simulation.crash(wait_for_leader(simulation), 3);
+       simulation.cloud_out = true;  // deletion requests fail at first
        simulation.run(16);
        simulation.cloud_out = false;
        simulation.run(simulation.config().cancellation_timeout_s - 25);
-       for (const auto* worker : hung) EXPECT_TRUE(worker->gone_at) << worker->id << " still holds them";
+       for (const auto* worker : hung_workers)
+         EXPECT_TRUE(worker->gone_at) << worker->id << " was not deleted";
      }},
-    {"LeaderEndsWhileMachinesWithLongTasksCantBeReached",
+    {"LeaderCrashesWhileMachinesAreUnreachable",
      [](Simulation& simulation) {
-       const int old_leader = leader_of(simulation);
+       const int previous_leader = wait_for_leader(simulation);
        for (auto* worker : simulation.workers_of("job-40"))
          simulation.inject_fault(worker->id, "dyke", Link::lose_request, 9);
        for (auto* worker : simulation.workers_of("job-41"))
          simulation.inject_fault(worker->id, "dyke", Link::lose_answer, 30);
-       simulation.crash(old_leader, 4);
+       simulation.crash(previous_leader, 4);
        simulation.run(12);
        cancel_long_jobs(simulation);
        simulation.run(40);
      }},
-    {"SmallJobsEndFarApartAcrossLeaders",
+    {"SmallJobsCompleteAcrossFailovers",
      [](Simulation& simulation) {
        for (int i = 0; i < 5; ++i) {
          auto spec = job_spec("job-" + std::to_string(60 + i), 2 + static_cast<TaskIndex>(i % 2));
@@ -374,14 +388,14 @@
        }
        for (int i = 0; i < 5; ++i) {
          simulation.run(9);
-         simulation.crash(leader_of(simulation), i % 2 == 0 ? 0.2 : 5);
+         simulation.crash(wait_for_leader(simulation), i % 2 == 0 ? 0.2 : 5);
        }
      }},
-    {"SlowStoreThenNoneForLongerThanACancellation",
+    {"SlowStateServiceThenOutageLongerThanCancellationTimeout",
      [](Simulation& simulation) {
        simulation.inject_fault("dyke", "store", Link::slow, 30);
        simulation.run(5);
-       const int leader = leader_of(simulation);
+       const int leader = wait_for_leader(simulation);
        simulation.inject_fault(Simulation::host(leader), "store", Link::refuse, 10);
        simulation.run(1.5);
        cancel_long_jobs(simulation);
@@ -389,9 +403,9 @@
        simulation.outage(simulation.config().cancellation_timeout_s + 10);
        simulation.run(simulation.config().cancellation_timeout_s + 12);
      }},
-    {"LeaderKeepsOnlyItsWorkersAndUsers",
+    {"LeaderReachesOnlyWorkersAndUsers",
      [](Simulation& simulation) {
-       const int leader = leader_of(simulation);
+       const int leader = wait_for_leader(simulation);
        simulation.inject_fault(Simulation::host(leader), "store", Link::hold, 50);
        simulation.inject_fault(Simulation::host(leader), "dyke", Link::hold, 50);
        for (int i = 0; i < 3; ++i)
@@ -401,13 +415,14 @@
        cancel_long_jobs(simulation, (leader + 1) % 3);
        simulation.run(60);
      }},
-    {"HandOverAndBackAndAllEndWithinASecond",
+    {"LeadershipTransferThenAllControllersCrash",
      [](Simulation& simulation) {
-       const int leader = leader_of(simulation);
-       // It hears no workers and hands on; then it has the lead back, and then all end, within a second.
+       const int leader = wait_for_leader(simulation);
+       // The leader receives no heartbeats and transfers leadership, and its successor crashes. After another
+       // election all controllers crash within one second.
        simulation.inject_fault("n-", Simulation::host(leader), Link::lose_request, 6);
        simulation.run(9);
-       simulation.crash(leader_of(simulation), 0.2);
+       simulation.crash(wait_for_leader(simulation), 0.2);
        simulation.run(5);
        cancel_long_jobs(simulation);
        simulation.run(0.1);
--- a/tests/scenarios/gang_scenario_test.cpp
+++ b/tests/scenarios/gang_scenario_test.cpp
@@ -1,4 +1,5 @@
-// Whole controllers and gangs, in simulated time: the simulation checks PROTOCOL's rules throughout.
+// Scenarios with gangs, run in simulated time against complete controllers. The simulation checks the
+// protocol's invariants throughout.
 #include <gtest/gtest.h>
 
 #include "simulation.hpp"
@@ -14,17 +15,17 @@
   return spec;
 }
 
-bool all_running(Simulation& simulation, const std::string& id) {
-  std::size_t running = 0;
+bool all_tasks_running(Simulation& simulation, const std::string& id) {
+  std::size_t running_count = 0;
   for (auto* worker : simulation.workers_up())
     for (const auto& task : worker->tasks)
-      running += task.ref.job.value == id && task.state == wire::TaskState::running;
-  return running == simulation.job(id).spec.task_count;
+      running_count += task.ref.job.value == id && task.state == wire::TaskState::running;
+  return running_count == simulation.job(id).spec.task_count;
 }
 
 }  // namespace
 
-TEST(GangScenario, AQuietDayEndsWithOneStartOfEachGang) {
+TEST(GangScenario, EachGangStartsOnceWithoutFaults) {
   Simulation simulation({.seed = 1});
   for (int i = 0; i < 4; ++i) simulation.submit(gang_spec("job-" + std::to_string(i), 3));
   simulation.submit(job_spec("job-9", 5));
@@ -33,38 +34,38 @@
   simulation.expect_nothing_left(30);
 }
 
-TEST(GangScenario, AGangThatLosesAMachineStartsAgainAsAWhole) {
+TEST(GangScenario, AllTasksRestartAfterMachineLoss) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
     simulation.submit(gang_spec("job-1", 5, 4, 60));
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
     simulation.die(*simulation.workers_of("job-1").at(0));
-    ASSERT_TRUE(simulation.run_until([&] { return !all_running(simulation, "job-1"); }, 30));
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 120));
+    ASSERT_TRUE(simulation.run_until([&] { return !all_tasks_running(simulation, "job-1"); }, 30));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 120));
     simulation.expect_all_served(200);
     simulation.expect_nothing_left(30);
   }
 }
 
-TEST(GangScenario, AHungMachineEndsTheGangAndTheNextAttemptWaitsForProof) {
+TEST(GangScenario, NextAttemptWaitsUntilHungTaskIsConfirmedEnded) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
     simulation.submit(gang_spec("job-1", 5, 4, 60));
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
     simulation.hang(*simulation.workers_of("job-1").at(0), simulation.config().worker_lease_s + 5);
     simulation.expect_all_served(300);
     simulation.expect_nothing_left(30);
   }
 }
 
-TEST(GangScenario, ACancelledGangIsGoneInTimeAlsoOnAHungMachine) {
+TEST(GangScenario, CancelledGangEndsInTimeWithHungMachine) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
     simulation.submit(gang_spec("job-1", 5, 4, 400));
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
     simulation.hang(*simulation.workers_of("job-1").at(0), 60);
     simulation.cancel("job-1");
     simulation.run(simulation.config().cancellation_timeout_s + 30);
@@ -74,19 +75,19 @@
   }
 }
 
-TEST(GangScenario, ANewLeaderAdoptsARunningGang) {
+TEST(GangScenario, NewLeaderAdoptsRunningGang) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
     simulation.submit(gang_spec("job-1", 5, 4, 60));
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
     simulation.crash(*simulation.leader(), 3);
     simulation.expect_all_served(200);
-    EXPECT_EQ(simulation.gang_starts(), 1u) << "no second attempt beside the first";
+    EXPECT_EQ(simulation.gang_starts(), 1u) << "the new leader must not start a second attempt";
   }
 }
 
-TEST(GangScenario, AllControllersEndWhileGangsAreBeingStarted) {
+TEST(GangScenario, AllControllersCrashDuringGangAssembly) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
@@ -100,7 +101,7 @@
   }
 }
 
-TEST(GangScenario, OneDeafMachineAmongTheGang) {
+TEST(GangScenario, GangsRunWhenOneMachineReceivesNoResponses) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
@@ -114,21 +115,21 @@
   }
 }
 
-TEST(GangScenario, ABoundGangWhoseZoneIsCutStartsNowhereElseBeforeItIsGone) {
+TEST(GangScenario, UnreachableSameZoneGangRestartsOnlyOnceConfirmedEnded) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
     auto spec = gang_spec("job-1", 5, 4, 60);
     spec.same_zone = true;
     simulation.submit(spec);
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
     for (auto* worker : simulation.workers_of("job-1"))
       simulation.inject_fault(worker->id, "dyke", Link::lose_request, 40);
     simulation.expect_all_served(300);
   }
 }
 
-TEST(GangScenario, AGangSavesTogetherBeforeOneOfItsMachinesIsTaken) {
+TEST(GangScenario, GangWritesCheckpointBeforeSpotMachineIsReclaimed) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
@@ -136,7 +137,7 @@
     spec.checkpoint_interval_s = 30;
     spec.checkpoint_duration_s = 1;
     simulation.submit(spec);
-    ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+    ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
     ASSERT_GT(simulation.workers_of("job-1").size(), 1u);
     simulation.run(14);
     simulation.give_notice(*simulation.workers_of("job-1").at(0), 10);
@@ -148,13 +149,13 @@
   }
 }
 
-TEST(GangScenario, NoSaveIsBegunWhileAMachineOfTheGangIsSilent) {
+TEST(GangScenario, NoCheckpointWhileMachineOfGangIsUnresponsive) {
   Simulation simulation({.seed = 2});
   auto spec = gang_spec("job-1", 5, 4, 100);
   spec.checkpoint_interval_s = 30;
   spec.checkpoint_duration_s = 1;
   simulation.submit(spec);
-  ASSERT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 60));
+  ASSERT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 60));
   const auto workers = simulation.workers_of("job-1");
   ASSERT_GT(workers.size(), 1u);
   simulation.run(14);
@@ -166,17 +167,17 @@
   simulation.expect_all_served(300);
 }
 
-TEST(GangScenario, AGangIsNotKeptOutBySmallerWork) {
+TEST(GangScenario, GangDoesNotStarveBehindSmallJobs) {
   Simulation simulation({.seed = 4});
-  simulation.capacity = 2;  // in each zone and of each kind
+  simulation.capacity = 2;  // per zone, of spot and of on-demand machines
   for (int i = 0; i < 40; ++i) simulation.submit(job_spec("job-" + std::to_string(100 + i), 2, 4));
   simulation.run(25);
   simulation.submit(gang_spec("job-1", 6, 8));
-  EXPECT_TRUE(simulation.run_until([&] { return all_running(simulation, "job-1"); }, 150));
+  EXPECT_TRUE(simulation.run_until([&] { return all_tasks_running(simulation, "job-1"); }, 150));
   simulation.expect_all_served(600);
 }
 
-TEST(GangScenario, TwoGangsForTheSameRoomDoNotHoldHalvesOfIt) {
+TEST(GangScenario, GangsCompetingForCapacityDoNotDeadlock) {
   Simulation simulation({.seed = 5});
   simulation.capacity = 1;
   for (int i = 0; i < 3; ++i) simulation.submit(gang_spec("job-" + std::to_string(i), 3, 8));
@@ -184,7 +185,7 @@
   EXPECT_EQ(simulation.gang_starts(), 3u);
 }
 
-TEST(GangScenario, AGangAtItsTeamsLimitWaitsForAllOfIt) {
+TEST(GangScenario, GangWaitsUntilTeamQuotaFitsAllTasks) {
   core::ClusterConfig config = cluster_config();
   config.teams[1].quota.cpus = 16;
   Simulation simulation({.seed = 6, .config = config});
--- a/tests/scenarios/large_fleet_test.cpp
+++ b/tests/scenarios/large_fleet_test.cpp
@@ -1,5 +1,5 @@
-// A fleet of 4,100 machines on fakes: whole controllers from a cold start through the falls that hit all at
-// once.
+// Runs complete controllers with 4,100 simulated machines through a cold start and faults that affect a large
+// part of the fleet at once.
 #include <gtest/gtest.h>
 
 #include "simulation.hpp"
@@ -28,7 +28,7 @@
   return "job-" + std::to_string(number);
 }
 
-std::size_t running_tasks(Simulation& simulation) {
+std::size_t count_running_tasks(Simulation& simulation) {
   std::size_t count = 0;
   for (auto* worker : simulation.workers_up())
     for (const auto& task : worker->tasks) count += task.state == wire::TaskState::running;
@@ -37,43 +37,46 @@
 
 }  // namespace
 
-TEST(LargeFleet, ColdStartTakeOverLostZoneRestartOfAllAndMassCancellation) {
+TEST(LargeFleet, ColdStartFailoverZoneLossRestartAndMassCancellation) {
   Simulation simulation({.seed = 1,
                          .controllers = kControllers,
                          .config = large_config(),
                          .writes_per_second = 200,
                          .step_s = 0.5});
   simulation.capacity = kMachines / 2;  // in each of the two zones
-  // One task fills a machine, and none ends by itself.
+  // Each task fills one machine and runs until it is cancelled.
   for (int i = 0; i < kJobs; ++i) {
     auto spec = job_spec(job_name(i), kTasksPerJob, 8);
     spec.estimated_run_s = 5000;
     spec.spot_allowed = false;
     simulation.submit(spec);
   }
-  const auto all_run_within = [&](int most_s) {
-    for (int s = 0; s < most_s && running_tasks(simulation) < kMachines; ++s) simulation.run(1);
-    return running_tasks(simulation) == kMachines;
+  const auto all_tasks_running_within = [&](int timeout_s) {
+    for (int s = 0; s < timeout_s && count_running_tasks(simulation) < kMachines; ++s) simulation.run(1);
+    return count_running_tasks(simulation) == kMachines;
   };
-  ASSERT_TRUE(all_run_within(120)) << running_tasks(simulation) << " after a cold start";
-  EXPECT_EQ(simulation.starts(), kMachines) << "each task was started once";
+  ASSERT_TRUE(all_tasks_running_within(120))
+      << count_running_tasks(simulation) << " tasks are running after a cold start";
+  EXPECT_EQ(simulation.starts(), kMachines) << "each task must be started once";
 
   simulation.crash(*simulation.leader(), 3);
   simulation.run(30);
   EXPECT_TRUE(simulation.leader());
-  EXPECT_EQ(running_tasks(simulation), kMachines) << "a take-over ends no task";
+  EXPECT_EQ(count_running_tasks(simulation), kMachines) << "a failover must not end any task";
   EXPECT_EQ(simulation.starts(), kMachines);
 
   for (auto* worker : simulation.workers_up())
     if (worker->zone == "b") simulation.die(*worker);
-  EXPECT_LT(running_tasks(simulation), kMachines);
-  ASSERT_TRUE(all_run_within(150)) << running_tasks(simulation) << " after a zone was lost";
+  EXPECT_LT(count_running_tasks(simulation), kMachines);
+  ASSERT_TRUE(all_tasks_running_within(150))
+      << count_running_tasks(simulation) << " tasks are running after the loss of a zone";
 
-  const auto started = simulation.starts();
+  const auto starts_before_restart = simulation.starts();
   for (int i = 0; i < kControllers; ++i) simulation.crash(i, 1);
   simulation.run(30);
-  EXPECT_EQ(running_tasks(simulation), kMachines) << "a restart of all controllers ends no task";
-  EXPECT_EQ(simulation.starts(), started);
+  EXPECT_EQ(count_running_tasks(simulation), kMachines)
+      << "a restart of all controllers must not end any task";
+  EXPECT_EQ(simulation.starts(), starts_before_restart);
 
   for (int i = 0; i < kJobs; ++i) simulation.cancel(job_name(i));
   simulation.expect_all_served(40);
--- a/tests/scenarios/random_fault_test.cpp
+++ b/tests/scenarios/random_fault_test.cpp
@@ -1,5 +1,5 @@
-// Random faults upon random work, with fixed seeds: the simulation checks PROTOCOL's rules at every step,
-// and at the end, with all faults over, that every job is served.
+// Injects random faults into a random workload, with fixed seeds. The simulation checks the protocol's
+// invariants at every step and, after all faults have ended, that every job finishes.
 #include <gtest/gtest.h>
 
 #include "simulation.hpp"
@@ -11,7 +11,7 @@
 core::ClusterConfig random_config() {
   auto config = cluster_config();
   config.teams[1].quota.cpus = 16;
-  config.max_value_bytes = 1024;  // the lower ones, put in force at some moment
+  config.max_value_bytes = 1024;  // the announced lower limits, enforced from step 18 on
   config.max_transaction_changes = 3;
   return config;
 }
@@ -20,7 +20,7 @@
  public:
   explicit RandomWorkload(Simulation& simulation) : simulation_(simulation) {}
 
-  void submit_something() {
+  void submit_random_job() {
     auto spec =
         job_spec("job-" + std::to_string(next_job_++), 1 + static_cast<TaskIndex>(simulation_.pick(5)));
     spec.estimated_run_s = simulation_.random(3, 40);
@@ -31,10 +31,10 @@
     spec.team = simulation_.pick(3) == 0 ? "other" : "team";
     spec.priority = simulation_.pick(2) == 0 ? wire::Priority::normal : wire::Priority::high;
     spec.spot_allowed = simulation_.pick(4) != 0;
-    const auto bound = simulation_.pick(5);
-    spec.same_zone = bound == 0;
-    spec.spread = bound == 1;
-    if (bound == 2) spec.zone = "b";
+    const auto zone_constraint = simulation_.pick(5);
+    spec.same_zone = zone_constraint == 0;
+    spec.spread = zone_constraint == 1;
+    if (zone_constraint == 2) spec.zone = "b";
     spec.checkpoint_interval_s = simulation_.pick(2) == 0 ? 0 : 5;
     spec.checkpoint_duration_s = spec.checkpoint_interval_s > 0 ? 1 : 0;
     const bool cancel = simulation_.pick(3) == 0;
@@ -44,8 +44,8 @@
 
   void inject_random_fault() {
     const auto workers = simulation_.workers_up();
-    const int some = static_cast<int>(simulation_.pick(3));
-    const int leader = simulation_.leader().value_or(some);
+    const int random_controller = static_cast<int>(simulation_.pick(3));
+    const int leader = simulation_.leader().value_or(random_controller);
     const auto worker_lease_s = simulation_.config().worker_lease_s;
     switch (simulation_.pick(13)) {
       case 0:
@@ -61,9 +61,9 @@
         simulation_.inject_fault(Simulation::host(leader), "store", Link::refuse, simulation_.random(2, 20));
         break;
       case 4: {
-        const double for_s = simulation_.random(5, 30);
-        simulation_.inject_fault(Simulation::host(leader), "store", Link::hold, for_s);
-        simulation_.inject_fault(Simulation::host(leader), "dyke", Link::hold, for_s);
+        const double duration_s = simulation_.random(5, 30);
+        simulation_.inject_fault(Simulation::host(leader), "store", Link::hold, duration_s);
+        simulation_.inject_fault(Simulation::host(leader), "dyke", Link::hold, duration_s);
         break;
       }
       case 5:
@@ -103,39 +103,41 @@
   int next_job_ = 1;
 };
 
-// A variable plays as many more as wanted.
-std::uint64_t seeds() {
-  constexpr std::uint64_t kUsual = 12;
-  const char* wanted = std::getenv("DOCKDYKE_TEST_SEEDS");
-  return wanted ? std::stoull(wanted) : kUsual;
+// Returns the number of seeds to run; DOCKDYKE_TEST_SEEDS overrides the default.
+std::uint64_t seed_count() {
+  constexpr std::uint64_t kDefaultSeedCount = 12;
+  const char* override_value = std::getenv("DOCKDYKE_TEST_SEEDS");
+  return override_value ? std::stoull(override_value) : kDefaultSeedCount;
 }
 
 }  // namespace
 
 class RandomTest : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomTest, FaultsBreakNoRuleAndAllIsServedInTheEnd) {
+TEST_P(RandomTest, InvariantsHoldAndAllJobsFinish) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   Simulation simulation({.seed = GetParam(),
                          .config = random_config(),
                          .writes_per_second = 60,
                          .writes_per_second_later = 40});
-  if (GetParam() % 2 == 0) simulation.lost_target = peer::kCancelledPath;  // nothing may rest on that word
+  if (GetParam() % 2 == 0)
+    simulation.lost_target = peer::kCancelledPath;  // drop all notifications of cancellations
   RandomWorkload workload(simulation);
   for (int step = 0; step < 40 && !HasFailure(); ++step) {
-    if (step < 25) workload.submit_something();
+    if (step < 25) workload.submit_random_job();
     if (step >= 4 && step % 2 == 0) workload.inject_random_fault();
     if (step == 18) simulation.lower_limits();
     simulation.run(simulation.random(1, 6));
   }
   if (HasFailure()) return;
-  simulation.run(2.5 * simulation.config().cancellation_timeout_s);  // the last faults end
+  simulation.run(2.5 * simulation.config().cancellation_timeout_s);  // until the last faults have ended
   simulation.expect_answered_lately();
-  simulation.expect_all_served(300);  // a team at its limit has work for so long
+  simulation.expect_all_served(300);  // long enough for the team at its limit
   simulation.expect_nothing_left(60);
-  EXPECT_EQ(simulation.store.too_large, 0u) << "written by the lower limits from the beginning";
+  EXPECT_EQ(simulation.store.too_large, 0u)
+      << "the controllers must keep to the announced lower limits from the start";
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomTest, ::testing::Range<std::uint64_t>(1, seeds() + 1));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomTest, ::testing::Range<std::uint64_t>(1, seed_count() + 1));
 
 }  // namespace dockdyke::testing
--- a/tests/scenarios/soak_test.cpp
+++ b/tests/scenarios/soak_test.cpp
@@ -1,6 +1,5 @@
-// A soak with fixed seeds at the size of the incident of 2026-12-02 (docs/incidents): five controllers, 120
-// machines, slow heartbeats and long tasks, half of the jobs cancelled, and a random mix of the faults of
-// that day. A variable plays more seeds, for a long run that is started by hand.
+// Soak test with fixed seeds: five controllers, 120 machines, long heartbeat intervals and long tasks, half
+// of the jobs cancelled, and random faults. Guards against cancelled tasks that run past their deadline.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,8 +12,8 @@
 
 constexpr int kControllers = 5;
 constexpr std::size_t kMachinesPerOffering = 30;  // in each of two zones, spot and on-demand
-constexpr int kFirstJobs = 40;
-constexpr double kFaultyTimeS = 200;
+constexpr int kInitialJobs = 40;
+constexpr double kFaultInjectionSeconds = 200;
 
 core::ClusterConfig soak_config() {
   auto config = slow_heartbeat_config();
@@ -24,17 +23,18 @@
   return config;
 }
 
-std::uint64_t soak_seeds() {
-  constexpr std::uint64_t kUsual = 6;
-  const char* wanted = std::getenv("DOCKDYKE_SOAK_SEEDS");
-  return wanted ? std::stoull(wanted) : kUsual;
+// Returns the number of seeds to run; DOCKDYKE_SOAK_SEEDS overrides the default.
+std::uint64_t soak_seed_count() {
+  constexpr std::uint64_t kDefaultSeedCount = 6;
+  const char* override_value = std::getenv("DOCKDYKE_SOAK_SEEDS");
+  return override_value ? std::stoull(override_value) : kDefaultSeedCount;
 }
 
-class Soak {
+class SoakWorkload {
  public:
-  explicit Soak(Simulation& simulation) : simulation_(simulation) {}
+  explicit SoakWorkload(Simulation& simulation) : simulation_(simulation) {}
 
-  void submit_job() {
+  void submit_random_job() {
     auto spec =
         job_spec("job-" + std::to_string(next_job_++), 1 + static_cast<TaskIndex>(simulation_.pick(10)));
     spec.estimated_run_s = simulation_.random(100, 250);
@@ -49,22 +49,23 @@
     simulation_.submit(std::move(spec), cancel_after_s);
   }
 
-  void inject_fault() {
-    constexpr std::size_t kFaults = 10;
-    switch (simulation_.pick(kFaults)) {
+  void inject_random_fault() {
+    constexpr std::size_t kFaultKinds = 10;
+    switch (simulation_.pick(kFaultKinds)) {
       case 0:
         for (int i = 0; i < kControllers; ++i) simulation_.crash(i, simulation_.random(4, 6));
         break;
       case 1:
       case 2:
-        simulation_.crash(leader(), simulation_.random(0.2, 6));
+        simulation_.crash(leader_or_random_controller(), simulation_.random(0.2, 6));
         break;
       case 3:
-        simulation_.inject_fault(Simulation::host(leader()), "store", Link::refuse,
+        simulation_.inject_fault(Simulation::host(leader_or_random_controller()), "store", Link::refuse,
                                  simulation_.random(2, 12));
         break;
       case 4:
-        simulation_.inject_fault(Simulation::host(leader()), "store", Link::hold, simulation_.random(3, 8));
+        simulation_.inject_fault(Simulation::host(leader_or_random_controller()), "store", Link::hold,
+                                 simulation_.random(3, 8));
         break;
       case 5:
         simulation_.outage(simulation_.random(2, 8));
@@ -76,42 +77,44 @@
         cancel_running_jobs();
         break;
       default:
-        harm_machines(simulation_.random(0.1, 0.6));
+        inject_machine_faults(simulation_.random(0.1, 0.6));
     }
   }
 
  private:
-  int leader() { return simulation_.leader().value_or(static_cast<int>(simulation_.pick(kControllers))); }
+  int leader_or_random_controller() {
+    return simulation_.leader().value_or(static_cast<int>(simulation_.pick(kControllers)));
+  }
 
-  // Users call off several jobs within a moment, through whatever controller.
+  // Cancels up to eight random running jobs at the same time, through any controllers.
   void cancel_running_jobs() {
-    int left = 8;
+    int remaining = 8;
     for (const auto& [id, job] : simulation_.all_jobs()) {
-      if (left == 0) return;
+      if (remaining == 0) return;
       if (!job.accepted_at || job.cancel_asked || job.done_told_at || simulation_.pick(3) != 0) continue;
       simulation_.cancel(id);
-      --left;
+      --remaining;
     }
   }
 
-  void harm_machines(double share) {
-    constexpr std::size_t kKinds = 5;
-    const auto kind = simulation_.pick(kKinds);
+  void inject_machine_faults(double affected_fraction) {
+    constexpr std::size_t kMachineFaultKinds = 5;
+    const auto kind = simulation_.pick(kMachineFaultKinds);
     for (auto* worker : simulation_.workers_up()) {
-      if (simulation_.random(0, 1) > share) continue;
-      const double for_s = simulation_.random(5, 60);
+      if (simulation_.random(0, 1) > affected_fraction) continue;
+      const double duration_s = simulation_.random(5, 60);
       switch (kind) {
         case 0:
-          simulation_.hang(*worker, for_s);
+          simulation_.hang(*worker, duration_s);
           break;
         case 1:
-          simulation_.inject_fault(worker->id, "dyke", Link::lose_answer, for_s);
+          simulation_.inject_fault(worker->id, "dyke", Link::lose_answer, duration_s);
           break;
         case 2:
-          simulation_.inject_fault(worker->id, "dyke", Link::late_copy, for_s);
+          simulation_.inject_fault(worker->id, "dyke", Link::late_copy, duration_s);
           break;
         default:
-          simulation_.inject_fault(worker->id, "dyke", Link::lose_request, for_s);
+          simulation_.inject_fault(worker->id, "dyke", Link::lose_request, duration_s);
       }
     }
   }
@@ -124,27 +127,28 @@
 
 class SoakTest : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(SoakTest, CancelledTasksGoInTimeAndNoOtherRuleBreaks) {
+TEST_P(SoakTest, CancelledTasksEndInTimeAndInvariantsHold) {
   SCOPED_TRACE("seed " + std::to_string(GetParam()));
   Simulation simulation({.seed = GetParam(), .controllers = kControllers, .config = soak_config()});
   simulation.capacity = kMachinesPerOffering;
-  if (GetParam() % 2 == 0) simulation.lost_target = peer::kCancelledPath;  // nothing may rest on that word
-  Soak soak(simulation);
-  for (int i = 0; i < kFirstJobs; ++i) soak.submit_job();
+  if (GetParam() % 2 == 0)
+    simulation.lost_target = peer::kCancelledPath;  // drop all notifications of cancellations
+  SoakWorkload workload(simulation);
+  for (int i = 0; i < kInitialJobs; ++i) workload.submit_random_job();
   simulation.run(25);
-  for (double played_s = 0; played_s < kFaultyTimeS && !HasFailure();) {
-    soak.submit_job();
-    soak.inject_fault();
+  for (double elapsed_s = 0; elapsed_s < kFaultInjectionSeconds && !HasFailure();) {
+    workload.submit_random_job();
+    workload.inject_random_fault();
     const double pause_s = simulation.random(2, 8);
     simulation.run(pause_s);
-    played_s += pause_s;
+    elapsed_s += pause_s;
   }
   if (HasFailure()) return;
-  simulation.run(simulation.config().cancellation_timeout_s + 60);  // the last faults end
+  simulation.run(simulation.config().cancellation_timeout_s + 60);  // until the last faults have ended
   simulation.expect_answered_lately();
   simulation.expect_all_served(900);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, SoakTest, ::testing::Range<std::uint64_t>(1, soak_seeds() + 1));
+INSTANTIATE_TEST_SUITE_P(Seeds, SoakTest, ::testing::Range<std::uint64_t>(1, soak_seed_count() + 1));
 
 }  // namespace dockdyke::testing
--- a/tests/scenarios/store_limits_test.cpp
+++ b/tests/scenarios/store_limits_test.cpp
@@ -1,4 +1,5 @@
-// The state service's limits, now and after they were lowered without notice.
+// The leader and the state client keep to the size and rate limits of the state service, also when the
+// service begins to enforce the announced lower limits.
 #include <set>
 
 #include "cluster_fixture.hpp"
@@ -11,32 +12,33 @@
 
 namespace {
 
-constexpr std::size_t kLeastBytes = static_cast<std::size_t>(constants::kMinValueKib * 1024);
-constexpr std::size_t kLeastOps = static_cast<std::size_t>(constants::kMinTransactionChanges);
+constexpr std::size_t kMinValueBytes = static_cast<std::size_t>(constants::kMinValueKib * 1024);
+constexpr std::size_t kMinChanges = static_cast<std::size_t>(constants::kMinTransactionChanges);
 
-ClusterConfig lowest_limits() {
+ClusterConfig lowest_limits_config() {
   auto config = cluster_config();
-  config.max_value_bytes = kLeastBytes;
-  config.max_transaction_changes = kLeastOps;
+  config.max_value_bytes = kMinValueBytes;
+  config.max_transaction_changes = kMinChanges;
   config.max_machines = 400;
   return config;
 }
 
-// The leader's guard comes on top of what the core asks for.
-void expect_fits(const wire::Transaction& txn) {
-  EXPECT_LE(txn.puts.size() + txn.deletions.size(), kLeastOps);
-  EXPECT_LE(txn.preconditions.size() + 1, constants::kPreconditionsPerChange * kLeastOps);
-  for (const auto& put : txn.puts) EXPECT_LE(put.value.dump().size(), kLeastBytes) << put.key;
+// Expects the transaction to be within the lowest limits. The leader adds one precondition to each
+// transaction, that it still leads.
+void expect_within_limits(const wire::Transaction& txn) {
+  EXPECT_LE(txn.puts.size() + txn.deletions.size(), kMinChanges);
+  EXPECT_LE(txn.preconditions.size() + 1, constants::kPreconditionsPerChange * kMinChanges);
+  for (const auto& put : txn.puts) EXPECT_LE(put.value.dump().size(), kMinValueBytes) << put.key;
 }
 
 }  // namespace
 
 class LowestLimitsTest : public ClusterTest {
  protected:
-  LowestLimitsTest() : ClusterTest(lowest_limits()) {}
+  LowestLimitsTest() : ClusterTest(lowest_limits_config()) {}
 };
 
-TEST_F(LowestLimitsTest, NothingThatALeaderWritesNeedsMore) {
+TEST_F(LowestLimitsTest, AllLeaderWritesAreWithinLimits) {
   complete_loading();
   std::vector<Worker> workers;
   for (int i = 0; i < 110; ++i)
@@ -54,61 +56,61 @@
                            wire::TaskState::exited, wire::ExitCause::done);
   }
   for (auto& worker : workers) exchange_heartbeat(worker);
-  advance_time(60);  // idle machines go back
-  std::set<std::string> kinds;
-  for (const auto& save : applied_writes) {
-    expect_fits(save.transaction);
-    for (const auto& put : save.transaction.puts) kinds.insert(put.key.substr(0, put.key.find('/')));
+  advance_time(60);  // until idle machines are scaled in
+  std::set<std::string> key_prefixes;
+  for (const auto& write : applied_writes) {
+    expect_within_limits(write.transaction);
+    for (const auto& put : write.transaction.puts) key_prefixes.insert(put.key.substr(0, put.key.find('/')));
   }
-  EXPECT_EQ(kinds, (std::set<std::string>{"gang", "over", "page"}));
-  const auto returns = emitted_effects<RequestScaleIn>();
-  ASSERT_FALSE(returns.empty());
-  std::size_t given_back = 0;
-  for (const auto& each : returns) {
-    given_back += each.machines.size();
-    EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
+  EXPECT_EQ(key_prefixes, (std::set<std::string>{"gang", "over", "page"}));
+  const auto scale_in_requests = emitted_effects<RequestScaleIn>();
+  ASSERT_FALSE(scale_in_requests.empty());
+  std::size_t scaled_in_count = 0;
+  for (const auto& scale_in : scale_in_requests) {
+    scaled_in_count += scale_in.machines.size();
+    EXPECT_LE(wire::machine_names(scale_in.machines).dump().size(), kMinValueBytes);
   }
-  EXPECT_GE(given_back, 100u);
-  for (const auto& each : emitted_effects<RequestScaleOut>())
-    EXPECT_LE(wire::to_json(each.request).dump().size(), kLeastBytes);
+  EXPECT_GE(scaled_in_count, 100u);
+  for (const auto& scale_out : emitted_effects<RequestScaleOut>())
+    EXPECT_LE(wire::to_json(scale_out.request).dump().size(), kMinValueBytes);
 }
 
-TEST_F(LowestLimitsTest, AReturnOfManyMachinesIsRecordedInSeveralValues) {
+TEST_F(LowestLimitsTest, ScaleInOfManyMachinesIsSplitIntoSeveralRecords) {
   complete_loading();
   std::vector<Worker> workers;
   for (int i = 0; i < 110; ++i) {
     workers.push_back(Worker{"n-" + std::to_string(100000 + i), "a", false});
     exchange_heartbeat(workers.back());
   }
-  std::size_t given_back = 0;
+  std::size_t scaled_in_count = 0;
   for (int i = 0; i < 30; ++i) {
     for (auto& worker : workers) exchange_heartbeat(worker);
     advance_time(1);
   }
-  for (const auto& each : emitted_effects<RequestScaleIn>()) {
-    given_back += each.machines.size();
-    EXPECT_LE(wire::machine_names(each.machines).dump().size(), kLeastBytes);
+  for (const auto& scale_in : emitted_effects<RequestScaleIn>()) {
+    scaled_in_count += scale_in.machines.size();
+    EXPECT_LE(wire::machine_names(scale_in.machines).dump().size(), kMinValueBytes);
   }
-  EXPECT_EQ(given_back, 110u);
+  EXPECT_EQ(scaled_in_count, 110u);
 }
 
-TEST(LowestLimits, ACancellationNeedsNoMoreAlsoOfALargeRecordWrittenBefore) {
+TEST(LowestLimits, CancellationOfOversizedJobRecordIsWithinLimits) {
   auto record = job_record(job_spec("job-1", 5));
   record.spec.machine_types.emplace();
   for (int i = 0; i < 200; ++i) record.spec.machine_types->push_back("type-" + std::to_string(i));
   record.spec.image = std::string(200, 'i');
   record.spec.same_zone = true;
-  ASSERT_GT(to_json(record).dump().size(), kLeastBytes);
-  const auto txn = cancellation_transaction(record, Revision(5), 2, 1234, kLeastBytes);
-  expect_fits(txn);
-  const auto copy = parse_job_record(txn.puts.at(1).value);
-  EXPECT_EQ(copy.spec.team, record.spec.team);
-  EXPECT_EQ(copy.spec.task_resources.cpus, record.spec.task_resources.cpus);
-  EXPECT_TRUE(copy.spec.same_zone);
-  EXPECT_EQ(copy.cancelled_ms, 1234);
+  ASSERT_GT(to_json(record).dump().size(), kMinValueBytes);
+  const auto txn = cancellation_transaction(record, Revision(5), 2, 1234, kMinValueBytes);
+  expect_within_limits(txn);
+  const auto stored = parse_job_record(txn.puts.at(1).value);
+  EXPECT_EQ(stored.spec.team, record.spec.team);
+  EXPECT_EQ(stored.spec.task_resources.cpus, record.spec.task_resources.cpus);
+  EXPECT_TRUE(stored.spec.same_zone);
+  EXPECT_EQ(stored.cancelled_ms, 1234);
 }
 
-TEST_F(LowestLimitsTest, APageThatIsRefusedAllTheSameIsWrittenInSmallerOnes) {
+TEST_F(LowestLimitsTest, RejectedSegmentIsSplitIntoSmallerSegments) {
   complete_loading();
   std::vector<Worker> workers;
   for (int i = 0; i < 60; ++i) workers.push_back(connect_worker("n-" + std::to_string(100000 + i)));
@@ -116,47 +118,47 @@
   submit(job_spec("job-1", 60, 8));
   assign_and_write();
   now += 10;
-  std::size_t last = 0;
-  std::set<TaskIndex> stored;
-  for (int round = 0; round < 40; ++round, now += 10) {
-    const auto save = cluster.next_write(now);
-    if (!save) break;
-    const std::size_t size = save->transaction.puts.at(0).value.dump().size();
+  std::size_t last_rejected_size = 0;
+  std::set<TaskIndex> stored_tasks;
+  for (int iteration = 0; iteration < 40; ++iteration, now += 10) {
+    const auto write = cluster.next_write(now);
+    if (!write) break;
+    const std::size_t size = write->transaction.puts.at(0).value.dump().size();
     if (size > 350) {
-      if (last != 0) {
-        EXPECT_LT(size, last);
+      if (last_rejected_size != 0) {
+        EXPECT_LT(size, last_rejected_size);
       }
-      last = size;
-      cluster.apply(WriteRejected{save->number}, now);
+      last_rejected_size = size;
+      cluster.apply(WriteRejected{write->number}, now);
       continue;
     }
-    const SegmentRecord page = parse_segment(save->transaction.puts.at(0).value);
-    for (const auto& task : page.at(JobId("job-1"))) stored.insert(task.index);
-    cluster.apply(WriteApplied{save->number}, now);
+    const SegmentRecord segment = parse_segment(write->transaction.puts.at(0).value);
+    for (const auto& task : segment.at(JobId("job-1"))) stored_tasks.insert(task.index);
+    cluster.apply(WriteApplied{write->number}, now);
   }
-  EXPECT_GT(last, 0u);
-  EXPECT_EQ(stored.size(), 60u);
+  EXPECT_GT(last_rejected_size, 0u);
+  EXPECT_EQ(stored_tasks.size(), 60u);
 }
 
-class UsualLimitsTest : public ClusterTest {};
+class DefaultLimitsTest : public ClusterTest {};
 
-TEST_F(UsualLimitsTest, EndsThatAreRefusedTogetherAreRecordedOneByOne) {
+TEST_F(DefaultLimitsTest, RejectedJobCompletionsAreWrittenInSmallerBatches) {
   for (int i = 0; i < 3; ++i) load_job(job_spec("job-" + std::to_string(i), 1), {{0, 1, {}, true}});
   complete_loading();
-  const auto together = cluster.next_write(now);
-  ASSERT_TRUE(together);
-  ASSERT_EQ(together->completed_jobs.size(), 3u);
-  cluster.apply(WriteRejected{together->number}, now);
-  std::set<JobId> recorded;
-  while (const auto save = cluster.next_write(now)) {
-    EXPECT_LT(save->completed_jobs.size(), 3u);
-    recorded.insert(save->completed_jobs.begin(), save->completed_jobs.end());
-    cluster.apply(WriteApplied{save->number}, now);
+  const auto batch = cluster.next_write(now);
+  ASSERT_TRUE(batch);
+  ASSERT_EQ(batch->completed_jobs.size(), 3u);
+  cluster.apply(WriteRejected{batch->number}, now);
+  std::set<JobId> completed_jobs;
+  while (const auto write = cluster.next_write(now)) {
+    EXPECT_LT(write->completed_jobs.size(), 3u);
+    completed_jobs.insert(write->completed_jobs.begin(), write->completed_jobs.end());
+    cluster.apply(WriteApplied{write->number}, now);
   }
-  EXPECT_EQ(recorded.size(), 3u);
+  EXPECT_EQ(completed_jobs.size(), 3u);
 }
 
-TEST_F(LowestLimitsTest, AGangsRecordThatIsRefusedIsWrittenInSmallerPartsUnderTheNextNumber) {
+TEST_F(LowestLimitsTest, RejectedGangRecordIsSplitUnderNextAttempt) {
   complete_loading();
   std::vector<Worker> workers;
   for (int i = 0; i < 30; ++i) workers.push_back(connect_worker("n-" + std::to_string(100000 + i)));
@@ -178,14 +180,14 @@
             first->transaction.puts.at(0).value.dump().size());
 }
 
-// ---- The rate of writes -----------------------------------------------------------------------------------
+// ---- Write rate limit -------------------------------------------------------------------------------------
 
 class WriteRateTest : public ::testing::Test {
  protected:
-  // Answers every call with the status that is set.
-  class Service : public net::Transport {
+  // Responds to every call with `status`.
+  class FixedStatusTransport : public net::Transport {
    public:
-    explicit Service(net::Loop& loop) : loop_(loop) {}
+    explicit FixedStatusTransport(net::Loop& loop) : loop_(loop) {}
     net::Task<net::CallResult> call(net::Address, std::string, std::string, std::string,
                                     net::Duration) override {
       co_await loop_.sleep(net::seconds(0.001));
@@ -200,82 +202,82 @@
   };
 
   WriteRateTest() {
-    client.on_write_limit_seen([this] { ++seen; });
+    client.on_write_limit_seen([this] { ++notification_count; });
   }
 
-  void write(int times) {
-    for (int i = 0; i < times; ++i) {
-      net::spawn(write_once());
+  void commit_writes(int count) {
+    for (int i = 0; i < count; ++i) {
+      net::spawn(commit_write());
       run(0.05);
     }
   }
-  net::Task<void> write_once() {
+  net::Task<void> commit_write() {
     wire::Transaction txn;
     txn.deletions.push_back("a");
     co_await client.commit(txn, store::RequestPriority::normal, loop.now() + net::seconds(1));
   }
-  net::Task<void> compare(std::optional<store::Outcome>* out) {
+  net::Task<void> commit_precondition_only(std::optional<store::Outcome>* out) {
     wire::Transaction txn;
     txn.preconditions.push_back({"a", Revision(5)});
-    const auto compared =
+    const auto result =
         co_await client.commit(txn, store::RequestPriority::normal, loop.now() + net::seconds(1));
-    *out = compared.outcome;
+    *out = result.outcome;
   }
-  void run(double s) {
-    const auto end = loop.now() + net::seconds(s);
+  void run(double duration_s) {
+    const auto end = loop.now() + net::seconds(duration_s);
     while (loop.now() < end) loop.turn(end - loop.now());
   }
 
   net::Loop loop{net::Loop::Time::simulated};
-  Service service{loop};
-  store::StateClient client{loop, service, net::Address{1, 1}, {1000, 20, 15}};
-  int seen = 0;
+  FixedStatusTransport transport{loop};
+  store::StateClient client{loop, transport, net::Address{1, 1}, {1000, 20, 15}};
+  int notification_count = 0;
 };
 
-TEST_F(WriteRateTest, IsLoweredForGoodOnceTheServiceHasShownTheLowerLimit) {
-  service.status = 429;
-  write(constants::kRateLimitRefusalThreshold);
+TEST_F(WriteRateTest, IsLoweredPermanentlyAfterRepeatedRefusals) {
+  transport.status = 429;
+  commit_writes(constants::kRateLimitRefusalThreshold);
   EXPECT_TRUE(client.write_limit_lowered());
   EXPECT_EQ(client.write_limit(), 15);
-  EXPECT_EQ(seen, 1);
-  service.status = 200;
-  write(100);
+  EXPECT_EQ(notification_count, 1);
+  transport.status = 200;
+  commit_writes(100);
   run(600);
   EXPECT_EQ(client.write_limit(), 15);
-  EXPECT_EQ(seen, 1);
+  EXPECT_EQ(notification_count, 1);
 }
 
-TEST_F(WriteRateTest, StaysForRefusalsThatAreFewOrFarApart) {
-  service.status = 429;
+TEST_F(WriteRateTest, IsNotLoweredByFewOrRareRefusals) {
+  transport.status = 429;
   for (int i = 0; i < 10; ++i) {
-    write(constants::kRateLimitRefusalThreshold - 1);
+    commit_writes(constants::kRateLimitRefusalThreshold - 1);
     run(constants::kRateLimitRefusalWindowSeconds + 1);
   }
   EXPECT_FALSE(client.write_limit_lowered());
   EXPECT_EQ(client.write_limit(), 20);
 }
 
-TEST_F(WriteRateTest, AComparisonDoesNotStandInLineWithTheWrites) {
-  for (int i = 0; i < 100; ++i) net::spawn(write_once());  // five seconds' worth
-  std::optional<store::Outcome> compared;
-  net::spawn(compare(&compared));
+TEST_F(WriteRateTest, PreconditionCheckDoesNotWaitForQueuedWrites) {
+  for (int i = 0; i < 100; ++i) net::spawn(commit_write());  // five seconds at the write limit
+  std::optional<store::Outcome> outcome;
+  net::spawn(commit_precondition_only(&outcome));
   run(0.1);
-  EXPECT_EQ(compared, store::Outcome::ok);
+  EXPECT_EQ(outcome, store::Outcome::ok);
 }
 
-TEST_F(WriteRateTest, StaysWhereNoLowerLimitWasAnnounced) {
-  store::StateClient unannounced{loop, service, net::Address{1, 1}, {1000, 20, 20}};
-  unannounced.lower_write_limit();
-  EXPECT_FALSE(unannounced.write_limit_lowered());
-  EXPECT_EQ(unannounced.write_limit(), 20);
+TEST_F(WriteRateTest, IsNotLoweredWithoutAnnouncedLimit) {
+  store::StateClient client_without_lower_limit{loop, transport, net::Address{1, 1}, {1000, 20, 20}};
+  client_without_lower_limit.lower_write_limit();
+  EXPECT_FALSE(client_without_lower_limit.write_limit_lowered());
+  EXPECT_EQ(client_without_lower_limit.write_limit(), 20);
 }
 
-TEST(LoweredLimits, AreMetInTheMiddleOfWorkAndAllIsServed) {
+TEST(LoweredLimits, AllJobsFinishWhenLimitsAreLoweredUnderLoad) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     SCOPED_TRACE(seed);
     auto config = cluster_config();
-    config.max_value_bytes = kLeastBytes;
-    config.max_transaction_changes = kLeastOps;
+    config.max_value_bytes = kMinValueBytes;
+    config.max_transaction_changes = kMinChanges;
     Simulation simulation(
         {.seed = seed, .config = config, .writes_per_second = 40, .writes_per_second_later = 25});
     for (int i = 0; i < 40; ++i) {
--- a/tests/scenarios/upgrade_scenario_test.cpp
+++ b/tests/scenarios/upgrade_scenario_test.cpp
@@ -1,4 +1,5 @@
-// Both versions serve side by side: controllers come back newer one at a time, and sometimes older again.
+// Rolling upgrades, in which controllers of the previous and the new version run side by side, and a
+// controller may also restart with the previous version.
 #include <gtest/gtest.h>
 
 #include "simulation.hpp"
@@ -17,87 +18,88 @@
   return config;
 }
 
-wire::JobSpec short_job(int number, TaskIndex tasks = 3) {
+wire::JobSpec short_job_spec(int number, TaskIndex tasks = 3) {
   auto spec = job_spec("job-" + std::to_string(number), tasks);
   spec.estimated_run_s = 12;
   return spec;
 }
 
-wire::JobSpec gang(const std::string& id, double run_s) {
+wire::JobSpec gang_spec(const std::string& id, double run_s) {
   auto spec = job_spec(id, 4);
   spec.kind = wire::JobKind::gang;
   spec.estimated_run_s = run_s;
   return spec;
 }
 
-// Ends the processes one after the other; each comes back with the new version.
-void upgrade_all(Simulation& simulation, double every_s) {
+// Restarts the controllers one after the other with the new version.
+void upgrade_all_controllers(Simulation& simulation, double interval_s) {
   for (int i = 0; i < kControllers; ++i) {
     simulation.set_older(i, false);
     simulation.crash(i, 1);
-    simulation.run(every_s);
+    simulation.run(interval_s);
   }
 }
 
 }  // namespace
 
-TEST(UpgradeScenario, WorkGoesOnWhileControllersComeBackNewer) {
+TEST(UpgradeScenario, AllJobsFinishDuringRollingUpgrade) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed, .older = {0, 1, 2}});
     for (int i = 0; i < 8; ++i) {
-      simulation.submit(short_job(i), i % 4 == 0 ? std::optional<double>(14) : std::nullopt);
+      simulation.submit(short_job_spec(i), i % 4 == 0 ? std::optional<double>(14) : std::nullopt);
       simulation.run(1);
     }
-    upgrade_all(simulation, 6);
-    simulation.submit(gang("job-100", 10));
+    upgrade_all_controllers(simulation, 6);
+    simulation.submit(gang_spec("job-100", 10));
     simulation.expect_all_served(200);
     simulation.expect_nothing_left(60);
     EXPECT_EQ(simulation.gang_starts(), 1u);
   }
 }
 
-TEST(UpgradeScenario, AProcessThatEndsBeforeItsTurnComesBackOlder) {
+TEST(UpgradeScenario, JobsFinishWhenCrashedControllersRestartWithPreviousVersion) {
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed, .older = {0, 1, 2}});
     for (int i = 0; i < 12; ++i) {
-      simulation.submit(short_job(i), i % 3 == 0 ? std::optional<double>(10) : std::nullopt);
+      simulation.submit(short_job_spec(i), i % 3 == 0 ? std::optional<double>(10) : std::nullopt);
       if (i == 4) {
         simulation.set_older(0, false);
         simulation.crash(0, 1);
       }
-      // Whoever leads ends, and an older one may lead the records of a newer one.
+      // A leader of the previous version may have to load records that the new version wrote.
       if (i % 3 == 2) simulation.crash(simulation.leader().value_or(1), simulation.random(0.2, 4));
       simulation.run(2);
     }
-    upgrade_all(simulation, 3);
+    upgrade_all_controllers(simulation, 3);
     simulation.expect_all_served(200);
     simulation.expect_nothing_left(60);
   }
 }
 
-TEST(UpgradeScenario, TheLeadGoesFromNewToOldToNewWhileAGangRuns) {
-  // Nothing new is asked before all are new; this plays the worst that a process started from the old version
-  // by mistake can do.
+TEST(UpgradeScenario, FailoverToPreviousVersionAndBackWhileGangRuns) {
+  // Gangs are submitted only after all controllers are upgraded. This guards against a process of the
+  // previous version that is started by mistake.
   for (std::uint64_t seed = 1; seed <= 4; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed});
-    simulation.submit(gang("job-1", 60));
-    simulation.submit(short_job(2));
+    simulation.submit(gang_spec("job-1", 60));
+    simulation.submit(short_job_spec(2));
     ASSERT_TRUE(simulation.run_until([&] { return simulation.gang_starts() == 1; }, 60));
     for (int i = 0; i < kControllers; ++i) simulation.set_older(i, true);
     for (int i = 0; i < kControllers; ++i) simulation.crash(i, 0.5);
     ASSERT_TRUE(simulation.run_until([&] { return simulation.leader().has_value(); }, 10));
     simulation.run(20);
-    EXPECT_EQ(simulation.tasks_on_machines("job-1"), 0u) << "an older leader ends what it does not know";
-    upgrade_all(simulation, 5);
+    EXPECT_EQ(simulation.tasks_on_machines("job-1"), 0u)
+        << "a leader of the previous version stops tasks of unknown jobs";
+    upgrade_all_controllers(simulation, 5);
     simulation.expect_all_served(300);
     simulation.expect_nothing_left(60);
   }
 }
 
-TEST(UpgradeScenario, LimitsAreLoweredWhileAnOlderLeaderStillWrites) {
+TEST(UpgradeScenario, LimitsAreLoweredUnderLeaderOfPreviousVersion) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     SCOPED_TRACE(seed);
     Simulation simulation({.seed = seed,
@@ -106,19 +108,21 @@
                            .writes_per_second_later = 6,
                            .older = {0, 1, 2}});
     simulation.capacity = 150;
-    // With few writes a second, the changes of many tasks share a record.
-    for (int i = 0; i < 4; ++i) simulation.submit(short_job(i, 120));
+    // At this low write rate, one record contains the changes of many tasks.
+    for (int i = 0; i < 4; ++i) simulation.submit(short_job_spec(i, 120));
     simulation.run(4);
     simulation.lower_limits();
     simulation.run(25);
-    EXPECT_GT(simulation.store.too_large, 0u) << "the older leader's records should have become too large";
-    const auto refused_before = simulation.store.too_large;
-    upgrade_all(simulation, 6);
-    const auto refused_after = simulation.store.too_large;
-    EXPECT_GE(refused_after, refused_before);
+    EXPECT_GT(simulation.store.too_large, 0u)
+        << "the scenario requires a record of the previous version that exceeds the limit";
+    const auto rejected_before_upgrade = simulation.store.too_large;
+    upgrade_all_controllers(simulation, 6);
+    const auto rejected_after_upgrade = simulation.store.too_large;
+    EXPECT_GE(rejected_after_upgrade, rejected_before_upgrade);
     simulation.expect_all_served(400);
     simulation.expect_nothing_left(60);
-    EXPECT_EQ(simulation.store.too_large, refused_after) << "no newer one writes records that large";
+    EXPECT_EQ(simulation.store.too_large, rejected_after_upgrade)
+        << "the new version must keep to the lower limits";
   }
 }
 
--- a/tests/tools/run_tests_test.sh
+++ b/tests/tools/run_tests_test.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# tools/run-tests passes over exactly the listed failures. ctest is replaced by a stand-in that knows three tests and
-# fails those named in FAILING.
+# Checks that tools/run-tests tolerates exactly the listed failures. A fake ctest lists three tests and fails those
+# named in FAILING.
 set -uo pipefail
 tool=$(cd "$(dirname "$0")/../.." && pwd)/tools/run-tests
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 mkdir -p "$work/bin" "$work/build/Testing/Temporary"
 
-cat >"$work/bin/ctest" <<'STAND_IN'
+cat >"$work/bin/ctest" <<'FAKE_CTEST'
 #!/usr/bin/env bash
 for argument in "$@"; do
   if [ "$argument" = -N ]; then
@@ -22,9 +22,10 @@
   echo "$number:$test" >>"$BUILD/Testing/Temporary/LastTestsFailed.log"
 done
 exit 8
-STAND_IN
+FAKE_CTEST
 chmod +x "$work/bin/ctest"
 
+readonly details="command, seed 1 | a failure | issue 1"  # of a listed test
 failures=0
 # check DESCRIPTION EXPECTED_STATUS EXPECTED_TEXT FAILING_TESTS LISTED_LINE...
 check() {
@@ -40,12 +41,14 @@
 }
 
 check "all pass, nothing listed" 0 "" "" ""
-check "the listed test fails" 0 "Suite.second/param | a cause | issue 1" "Suite.second/param" \
-  "# a comment" "Suite.second/param | a cause | issue 1"
-check "another test fails" 1 "failed and not listed" "Suite.first Suite.third" "Suite.first | a cause | issue 1"
+check "the listed test fails" 0 "Suite.second/param | $details" "Suite.second/param" \
+  "# a comment" "Suite.second/param | $details"
+check "another test fails" 1 "failed and not listed" "Suite.first Suite.third" "Suite.first | $details"
 check "an unlisted test fails" 1 "Suite.third" "Suite.third" ""
-check "a listed test passes" 1 "passed although listed" "" "Suite.first | a cause | issue 1"
-check "a listed test does not exist" 1 "no such test" "Suite.first" "Suite.first | a | 1" "Suite.other | a | 1"
+check "a listed test passes" 1 "passed although listed" "" "Suite.first | $details"
+check "a listed test does not exist" 1 "no such test" "Suite.first" \
+  "Suite.first | $details" "Suite.other | $details"
 check "more than three are listed" 1 "more than 3" "Suite.first" \
-  "Suite.first | a | 1" "Suite.second/param | a | 1" "Suite.third | a | 1" "Suite.fourth | a | 1"
+  "Suite.first | $details" "Suite.second/param | $details" "Suite.third | $details" \
+  "Suite.fourth | $details"
 exit "$failures"
