--- a/src/app/leader_term.hpp
+++ b/src/app/leader_term.hpp
@@ -57,7 +57,8 @@
   void set_isolated(bool isolated) { freshness_.set_isolated(isolated); }
   void push(core::Event event) { context_.events().push(std::move(event)); }
   net::Task<net::HttpResponse> handle_heartbeat(wire::Heartbeat heartbeat);
-  // Returns the progress of an active job, or std::nullopt if the job is unknown or its end is being stored.
+  // Returns the progress of an active job, or std::nullopt if the records are not loaded, or the job is
+  // unknown or cancelled.
   std::optional<core::JobProgress> progress(const JobId& id) const { return state_machine_.progress(id); }
 
  private:
--- a/src/app/worker_reachability_monitor.cpp
+++ b/src/app/worker_reachability_monitor.cpp
@@ -29,7 +29,7 @@
 bool WorkerReachabilityMonitor::should_transfer_leadership(const HeartbeatGap& gap,
                                                            const PeerHeartbeats& peer_heartbeats) const {
   const double required_heartbeats =
-      constants::kWorkersAtPeersFraction * static_cast<double>(gap.machine_count);
+      constants::kMinPeerHeartbeatsFraction * static_cast<double>(gap.machine_count);
   if (peer_heartbeats.recent_heartbeats > 0 &&
       static_cast<double>(peer_heartbeats.recent_heartbeats) >= required_heartbeats)
     return true;
--- a/src/constants.hpp
+++ b/src/constants.hpp
@@ -166,7 +166,7 @@
 inline constexpr double kMissedHeartbeatsThreshold = 20;
 // Heartbeats that peers must have received recently, as a fraction of the leader's machines, for the leader
 // to transfer leadership. Newly booted machines send heartbeats to any controller.
-inline constexpr double kWorkersAtPeersFraction = 0.1;
+inline constexpr double kMinPeerHeartbeatsFraction = 0.1;
 // Fraction of the workers' lease after which a leader that neither receives heartbeats nor reaches a peer
 // transfers leadership.
 inline constexpr double kIsolatedLeaderLeaseFraction = 0.5;
@@ -256,9 +256,9 @@
 // the timeout. Covers a failover, storing the deletion, the cloud call and its retries.
 inline constexpr double kMaxCancellationReserveSeconds = 12.0;
 inline constexpr double kCancellationReserveFraction = 0.3;
-// Fraction of that reserve from which on the machine is deleted in any case: its worker may hang. Covers
-// storing the deletion, the cloud call and one retry.
-inline constexpr double kCancellationLastResortFraction = 0.5;
+// Fraction of that reserve from which on the machine is deleted even if responsive: its worker may hang.
+// Covers storing the deletion, the cloud call and one retry.
+inline constexpr double kUnconditionalDeletionReserveFraction = 0.5;
 // Fraction of the cancellation timeout that is left when a cancelled job with tasks on machines is reported
 // as at risk.
 inline constexpr double kCancellationWarningFraction = 1.0 / 3;
@@ -294,7 +294,8 @@
 // Writes of the leader's rate limit reserved per segment: its own, its later deletion, and the rest for
 // submissions, completed jobs and scale-out requests.
 inline constexpr double kWritesPerSegment = 4.5;
-// Segments kept before the oldest are compacted: this number, and one more per so many live entries.
+// Segments kept before the oldest are compacted: kMinSegmentsKept, and one more per kLiveEntriesPerSegment
+// live entries.
 inline constexpr std::size_t kMinSegmentsKept = 24;
 inline constexpr std::size_t kLiveEntriesPerSegment = 200;
 // Size below which segments are not reduced further when the state service refuses them as too large.
@@ -309,7 +310,7 @@
 inline constexpr std::size_t kSmallQueueSize = 32;
 // Time that a job waits for its first task before it is starving and precedes all others in queue order.
 inline constexpr double kStarvationThresholdSeconds = 100.0;
-// Time from submission to deadline of a job for which neither its owner nor an objective states one.
+// Time from submission to deadline of a job for which neither its user nor an objective states one.
 inline constexpr double kDefaultDeadlineSeconds = 600.0;
 // Weight of the newest observation in the correction of a class's estimated run times.
 inline constexpr double kEstimateLearningRate = 0.15;
@@ -383,7 +384,7 @@
 // Time between runs of the autoscaler.
 inline constexpr double kAutoscalerIntervalSeconds = 5.0;
 // Fraction of its estimated run time from which on a task is nearly done; also the fraction of a machine's
-// capacity in use from which on the machine counts as overloaded.
+// capacity in use from which on the machine counts as saturated.
 inline constexpr double kNearlyDoneFraction = 0.9;
 // Multiple of its estimated run time above which a task is no longer expected to end soon, since the estimate
 // is evidently wrong.
@@ -395,7 +396,7 @@
 inline constexpr double kFreesSoonBootFraction = 0.8;
 // Fraction of a class's start objective after which only nearly done tasks count as capacity that becomes
 // free soon.
-inline constexpr double kStartPressureFraction = 0.33;
+inline constexpr double kStartAtRiskFraction = 0.33;
 // Smoothing factor of the moving average of the load on on-demand instances, per autoscaler run.
 inline constexpr double kOnDemandLoadSmoothingFactor = 0.1;
 // Smoothed load in machines, less the free spot instances, from which on spot instances are requested as a
@@ -424,7 +425,7 @@
 // Multiple of the boot time after which a booting machine no longer counts as expected capacity.
 inline constexpr double kLateBootFactor = 1.8;
 // Multiple of the boot time after which a booting machine is deleted.
-inline constexpr double kLostBootFactor = 3.0;
+inline constexpr double kBootTimeoutFactor = 3.0;
 // Waiting tasks considered in a demand computation. More would need more machines than one run requests.
 inline constexpr std::size_t kMaxDemandTasks = 20'000;
 // Unit (CPUs, GPUs, GB) to which free capacity is rounded down when machines are grouped by it.
--- a/src/core/capacity_planner.cpp
+++ b/src/core/capacity_planner.cpp
@@ -33,7 +33,7 @@
     const auto start_s = start_target_s(state_.config(), job.spec.job_class);
     if (!start_s) continue;
     const double max_wait_s =
-        std::max(constants::kScaleOutDelaySeconds, constants::kStartPressureFraction * *start_s);
+        std::max(constants::kScaleOutDelaySeconds, constants::kStartAtRiskFraction * *start_s);
     if (now - job.queued_at <= max_wait_s) continue;
     for (std::size_t type = 0; type < at_slo_risk.size(); ++type)
       at_slo_risk[type] = at_slo_risk[type] || job.compatible_with(type);
--- a/src/core/checkpoint_timing.hpp
+++ b/src/core/checkpoint_timing.hpp
@@ -1,4 +1,4 @@
-// Time at which a task must be told to write a checkpoint before its machine is terminated.
+// Time at which a task must be ordered to write a checkpoint before its machine is terminated.
 #pragma once
 
 #include "core/config.hpp"
@@ -6,8 +6,8 @@
 
 namespace dockdyke::core {
 
-// Returns the seconds before the termination of a machine at which a task must be told to write a checkpoint.
-// Commands travel only in responses to heartbeats, so this includes one heartbeat interval.
+// Returns the seconds before the termination of a machine at which a task must be ordered to write a
+// checkpoint. Commands travel only in responses to heartbeats, so this includes one heartbeat interval.
 double checkpoint_lead_time_s(const ClusterConfig& config, const wire::JobSpec& spec);
 
 }  // namespace dockdyke::core
--- a/src/core/failure_detector.cpp
+++ b/src/core/failure_detector.cpp
@@ -56,10 +56,10 @@
                constants::kCancellationReserveFraction * state_.config().cancellation_timeout_s);
   // After the timeout the task has most likely ended, and only the confirmation is missing.
   if (*left_s <= 0) return unresponsive;
-  // A new leader takes a machine for responsive until the heartbeat threshold has passed. Under a series of
+  // A new leader considers a machine responsive until the heartbeat threshold has passed. Under a series of
   // short-lived leaders an unresponsive machine would never be deleted, so an acknowledged token is required.
   if (*left_s < reserve_s && !responsive_under_token(machine, now)) return true;
-  return *left_s < constants::kCancellationLastResortFraction * reserve_s;
+  return *left_s < constants::kUnconditionalDeletionReserveFraction * reserve_s;
 }
 
 std::vector<MachineId> FailureDetector::machines_to_delete_for_cancellations(Time now) const {
@@ -71,7 +71,7 @@
 
 bool FailureDetector::boot_failed(const Machine& machine, Time now) const {
   const double age_s = now - machine.launched_at;
-  if (const auto* type = state_.type_of(machine)) return age_s > constants::kLostBootFactor * type->boot_s;
+  if (const auto* type = state_.type_of(machine)) return age_s > constants::kBootTimeoutFactor * type->boot_s;
   // A machine known only from a record and missing from the cloud's list most likely does not exist. Deleting
   // it confirms that its tasks have ended.
   return !machine.listed &&
--- a/src/core/gang_checkpoint.cpp
+++ b/src/core/gang_checkpoint.cpp
@@ -26,7 +26,7 @@
                machine.token_acknowledged && machine.undelivered_responses == 0 &&
                !constraints_.unresponsive(machine, now);
       });
-  // The progress since the last checkpoint, as far as the leader can tell, must exceed the time that a
+  // The progress since the last checkpoint, as estimated by the leader, must exceed the time that a
   // checkpoint takes.
   const double since_checkpoint_s = std::fmod(now - job.gang.started_at, spec.checkpoint_interval_s);
   return all_reachable && job.assignments.size() == spec.task_count &&
--- a/src/core/gang_scheduler.cpp
+++ b/src/core/gang_scheduler.cpp
@@ -52,7 +52,7 @@
 }
 
 bool GangScheduler::assign(Job& job, const std::vector<Machine*>& machines, Time now) {
-  // After failures on many machines the job itself is suspect, so all machines are allowed again.
+  // After failures on this many machines the job is considered at fault, so all machines are allowed again.
   if (job.failed_machines.size() >= constants::kSuspectJobMachineThreshold) job.failed_machines.clear();
   const auto placement = choose_placement(job, machines, now);
   if (placement.empty()) return false;
--- a/src/core/gang_scheduler.hpp
+++ b/src/core/gang_scheduler.hpp
@@ -26,7 +26,7 @@
   // await a response at the moment.
   void assign_to_any_machines(Time now);
   // Aborts attempts whose tasks have not all been observed well before `gang_assembly_timeout_s`, after which
-  // tasks end by themselves if their gang is incomplete.
+  // workers end the tasks of an incomplete gang.
   void abort_incomplete_attempts(Time now);
 
  private:
--- a/src/core/machine.hpp
+++ b/src/core/machine.hpp
@@ -15,7 +15,7 @@
 
 namespace dockdyke::core {
 
-// `failed`: the machine has stopped by itself.
+// `failed`: the machine has stopped without a deletion request.
 enum class MachineState { booting, up, failed };
 
 // The number of an unknown machine type.
@@ -69,7 +69,7 @@
 
   // ---- The cloud's list ----
   bool listed = false;      // it has appeared in a machine list
-  int missed_listings = 0;  // consecutive lists without it since then
+  int missed_listings = 0;  // consecutive machine lists without it, since it was listed
 
   // ---- Its health ----
   bool draining = false;            // gets no further tasks and is deleted once it has none
--- a/src/core/preemption.cpp
+++ b/src/core/preemption.cpp
@@ -110,7 +110,7 @@
   for (const auto& plan : demand.plans) {
     if (demand.tasks == 0) break;
     // Victims above the lowest priority are stopped for one waiting task at a time: most tasks of a job array
-    // get capacity from tasks that end by themselves.
+    // get capacity from tasks that complete without being stopped.
     if (plan.above_low_priority && demand.capacity_expected) continue;
     demand.capacity_expected = true;
     const std::size_t tasks = std::min(demand.tasks, plan.fitting_tasks);
--- a/src/core/run_time_estimator.hpp
+++ b/src/core/run_time_estimator.hpp
@@ -1,4 +1,4 @@
-// Corrects owners' run time estimates by the observed run times of tasks of the same class.
+// Corrects users' run time estimates by the observed run times of tasks of the same class.
 #pragma once
 
 #include <map>
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -36,8 +36,8 @@
     auto operator<=>(const TimerKey&) const = default;
   };
 
-  // Simulated time stands still while coroutines are ready and then advances to the next timer; descriptors
-  // are not polled. It makes tests fast and deterministic.
+  // Simulated time does not advance while coroutines are ready; it then advances to the next timer.
+  // Descriptors are not polled. This makes tests fast and deterministic.
   enum class TimeSource { real, simulated };
 
   // Throws std::system_error if no epoll descriptor can be created.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -43,7 +43,7 @@
     const IoResult received = co_await socket.read_some(buffer_, deadline);
     if (received.status == IoStatus::timeout) co_return false;
     if (!received) {
-      // A response without a length ends when the connection ends, in whatever way.
+      // A response without a length ends when the connection ends, whether it is closed or reset.
       parser.finish();
       co_return parser.complete();
     }
--- a/src/store/service_call.hpp
+++ b/src/store/service_call.hpp
@@ -42,8 +42,9 @@
                          net::CallError{std::move(request.method), std::move(request.target), std::nullopt});
 }
 
-// Parses the body if the outcome is ok, and returns a failure otherwise. If `parse` throws Malformed, the
-// outcome is unknown, because the response does not show whether the request was executed.
+// Parses the body if the outcome is ok, and returns a failure otherwise. If `parse` throws
+// wire::ParseError, the outcome is unknown, because the response does not show whether the request was
+// executed.
 template <class T, class Parse>
 net::Result<T> parse_response(net::Outcome outcome, ServiceResponse response, Parse parse) {
   if (outcome != net::Outcome::ok || !response.body)
--- a/src/store/state_client.hpp
+++ b/src/store/state_client.hpp
@@ -46,8 +46,8 @@
     rate_limiters_.set_rate_fractions(request_fraction, write_fraction);
   }
 
-  // Applies the announced lower write limit permanently. The client also does so by itself when refused
-  // writes show that the limit is in force; call this when another controller has detected it.
+  // Applies the announced lower write limit permanently. The client also does so without this call when
+  // refused writes show that the limit is in force; call this when another controller has detected it.
   void lower_write_limit() { rate_limiters_.lower_write_limit(); }
   bool write_limit_lowered() const { return rate_limiters_.write_limit_lowered(); }
   // Returns the writes per second that are allowed to all controllers together.
@@ -81,7 +81,7 @@
   // Renews a lease. Returns Outcome::missing if it has expired.
   net::Task<Outcome> renew_lease(LeaseId lease);
 
-  // Ends a lease at once. A failure is ignored, because the lease then expires by itself.
+  // Ends a lease at once. A failure is ignored, because an unrenewed lease expires.
   net::Task<void> revoke_lease(LeaseId lease);
 
   // Returns whether calls have failed for more than kStateUnreachableAfterSeconds seconds without a success.
--- a/tests/core/gang_capacity_reserve_test.cpp
+++ b/tests/core/gang_capacity_reserve_test.cpp
@@ -86,7 +86,7 @@
         count_other_job_starts();
   }
   EXPECT_EQ(early_starts, 0u);
-  EXPECT_GT(late_starts, 0u) << "other jobs must not starve beside the reserve";
+  EXPECT_GT(late_starts, 0u) << "other jobs must not starve despite the reserve";
 }
 
 }  // namespace dockdyke::testing
--- a/tests/core/machine_health_test.cpp
+++ b/tests/core/machine_health_test.cpp
@@ -62,7 +62,7 @@
   EXPECT_FALSE(two.draining);
 }
 
-TEST_F(MachineHealthTest, SuccessElsewhereCountsFailuresAgainstMachines) {
+TEST_F(MachineHealthTest, SuccessOnOtherMachineAttributesFailuresToMachines) {
   Machine& one = add_machine("n-1");
   Machine& two = add_machine("n-2");
   Job& job = add_job("job-1");
--- a/tests/core/placement_test.cpp
+++ b/tests/core/placement_test.cpp
@@ -197,7 +197,7 @@
   EXPECT_EQ(emitted_effects<RequestScaleIn>().at(0).machines[0], MachineId("n-1"));
 }
 
-TEST_F(PlacementTest, StragglerMachineIsDrainedAndItsTasksMoveOnce) {
+TEST_F(PlacementTest, StragglerMachineIsDrainedAndItsTasksRestartOnce) {
   complete_loading();
   std::vector<Worker> workers{connect_worker("n-1"), connect_worker("n-2"), connect_worker("n-3")};
   submit(job_spec("job-1", 6));
--- a/tests/core/safety_test.cpp
+++ b/tests/core/safety_test.cpp
@@ -196,7 +196,7 @@
 }
 
 TEST_F(SafetyTest, TerminatingRecordOfUnknownJobIsDeletedOnce) {
-  // If the cancellation is seen before the submission, the terminating record must not stay in the state
+  // If the cancellation is delivered before the submission, the terminating record must not stay in the state
   // service.
   complete_loading();
   cluster.apply(JobRecordDeleted{JobId("job-1")}, now);
--- a/tests/scenarios/fault_combination_test.cpp
+++ b/tests/scenarios/fault_combination_test.cpp
@@ -96,13 +96,13 @@
 
 // ---- Other combinations of faults -------------------------------------------------------------------------
 
-core::ClusterConfig team_limit_config() {
+core::ClusterConfig team_quota_config() {
   auto config = cluster_config();
   config.teams[1].quota.cpus = 16;
   return config;
 }
 
-// Submits short and long jobs, some placed in one zone or spread over zones, and some of a team at its limit.
+// Submits short and long jobs, some placed in one zone or spread over zones, and some of a team at its quota.
 void submit_mixed_workload(Simulation& simulation) {
   for (int i = 0; i < 4; ++i) {
     auto spec = job_spec("job-" + std::to_string(10 + i), 2 + static_cast<TaskIndex>(i));
@@ -161,7 +161,7 @@
 TEST_P(FaultCombinationTest, InvariantsHoldAndAllJobsFinish) {
   for (std::uint64_t seed = 1; seed <= 2; ++seed) {
     SCOPED_TRACE(seed);
-    Simulation simulation({.seed = seed, .config = team_limit_config()});
+    Simulation simulation({.seed = seed, .config = team_quota_config()});
     start_mixed_workload(simulation);
     if (HasFailure()) return;
     GetParam().inject_faults(simulation);
@@ -255,7 +255,7 @@
          simulation.resubmit(id);
        }
      }},
-    {"FailoverWithTeamAtLimitAndUnreachableMachines",
+    {"FailoverWithTeamAtQuotaAndUnreachableMachines",
      [](Simulation& simulation) {
        for (int i = 0; i < 3; ++i) {
          auto spec = long_job_spec("job-" + std::to_string(70 + i), 2);
--- a/tests/scenarios/random_fault_test.cpp
+++ b/tests/scenarios/random_fault_test.cpp
@@ -140,7 +140,7 @@
   if (HasFailure()) return;
   simulation.run(2.5 * simulation.config().cancellation_timeout_s);  // until the last faults have ended
   simulation.expect_recent_responses();
-  simulation.expect_all_jobs_finish(300);  // long enough for the team at its limit
+  simulation.expect_all_jobs_finish(300);  // long enough for the team at its quota
   simulation.expect_no_leftover_records(60);
   EXPECT_EQ(simulation.state_service.size_rejections, 0u)
       << "the controllers must keep to the announced lower limits from the start";
--- a/tests/support/simulated_previous_version.cpp
+++ b/tests/support/simulated_previous_version.cpp
@@ -1,6 +1,6 @@
 // Model of the previous version, which has neither gangs nor lower limits, for upgrade scenarios.
 //
-// Filters the messages of a current controller: gangs are malformed to it and their records are not listed,
+// Filters the messages of a current controller: gangs are treated as malformed and their records not listed,
 // heartbeats with states of gang tasks get 400, the path for lower limits gets 404, and transactions that the
 // state service rejects as too large are retried unchanged. Other differences between the versions, such as
 // the queue order and the choice of machines, are not modelled.
--- a/tests/support/simulated_workers.cpp
+++ b/tests/support/simulated_workers.cpp
@@ -46,7 +46,7 @@
     } else if (task.state == wire::TaskState::checkpointing && !is_gang(task) && task.ends_at <= now) {
       task.state = wire::TaskState::exited;
       task.cause = "halted";
-      task.stored = true;
+      task.checkpoint_written = true;
       worker.status_changed = true;
     } else if (task.state == wire::TaskState::running && !is_gang(task) && task.ends_at <= now) {
       task.state = wire::TaskState::exited;
@@ -126,7 +126,7 @@
     gang.checkpointed = true;
     for (auto& [worker, task] : tasks) {
       set_task_state(*worker, *task, wire::TaskState::exited, "halted");
-      task->stored = true;
+      task->checkpoint_written = true;
     }
   }
   if (!gang.checkpointed && elapsed_since_request_s > options_.config.gang_peer_timeout_s)
@@ -171,7 +171,7 @@
   for (const auto& task : worker->tasks) {
     Json each{{"piece", wire::to_string(task.ref)}, {"try", task.attempt}, {"stage", state_name(task.state)}};
     if (task.state == wire::TaskState::exited) each["cause"] = task.cause;
-    if (task.stored) each["stored"] = true;
+    if (task.checkpoint_written) each["stored"] = true;
     tasks.push_back(std::move(each));
   }
   Json termination_notice_s = nullptr;
--- a/tests/support/simulation.hpp
+++ b/tests/support/simulation.hpp
@@ -80,7 +80,7 @@
   // Expects every accepted job to complete or to be cancelled within `timeout_s`. To be called when all
   // faults are over; from then on no job may starve.
   void expect_all_jobs_finish(double timeout_s);
-  // Expects all records of finished jobs except those of their ends to be deleted within `timeout_s`.
+  // Expects all records of finished jobs except their terminal records to be deleted within `timeout_s`.
   void expect_no_leftover_records(double timeout_s);
   std::string describe_unfinished_jobs() const;
   // Expects every unfinished job to have received a response in the last 75 s.
--- a/tests/support/simulation_types.hpp
+++ b/tests/support/simulation_types.hpp
@@ -61,7 +61,7 @@
   std::string cause;
   net::TimePoint image_ready_at;
   net::TimePoint ends_at;
-  bool stored = false;
+  bool checkpoint_written = false;
   // Returns whether the task has started and not yet ended.
   bool is_active() const {
     return state == wire::TaskState::running || state == wire::TaskState::checkpointing ||
