--- a/src/app/cancellation_handler.hpp
+++ b/src/app/cancellation_handler.hpp
@@ -1,5 +1,5 @@
-// Cancels jobs (PROTOCOL, "POST /work/{id}/withdraw"). The same code runs on the leader and, when the leader
-// does not respond, on any other controller.
+// Handles job cancellations (PROTOCOL, "POST /work/{id}/withdraw"). Runs on the leader and, if the leader
+// does not respond, on followers.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +16,27 @@
 
 namespace dockdyke::app {
 
-// A cancellation is stored before it is confirmed; a conflict with a write of the leader is retried.
+// Stores each cancellation before responding to the user. Retries if the transaction conflicts with a write
+// of the leader.
 class CancellationHandler {
  public:
-  CancellationHandler(net::Loop& loop, store::StateClient& state, const core::ClusterConfig& config,
-                      const LeadershipState& leadership, const PeerNotifier& peers,
-                      TerminalJobCache& terminal_jobs, JobReader& jobs);
+  CancellationHandler(net::Loop& loop, store::StateClient& state_client, const core::ClusterConfig& config,
+                      const LeadershipState& leadership, const PeerNotifier& peer_notifier,
+                      TerminalJobCache& terminal_jobs, JobReader& job_reader);
 
   net::Task<net::HttpResponse> cancel(JobId id);
 
  private:
-  // The cancellation is stored.
-  void cancelled(const JobId& id, std::uint64_t done_count);
+  // Logs and caches a stored cancellation, then notifies this leader's term or, on a follower, all peers.
+  void publish_cancellation(const JobId& id, std::uint64_t done_count);
 
   net::Loop& loop_;
-  store::StateClient& state_;
+  store::StateClient& state_client_;
   const core::ClusterConfig& config_;
   const LeadershipState& leadership_;
-  const PeerNotifier& peers_;
+  const PeerNotifier& peer_notifier_;
   TerminalJobCache& terminal_jobs_;
-  JobReader& jobs_;
+  JobReader& job_reader_;
 };
 
 }  // namespace dockdyke::app
--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -16,9 +16,10 @@
     : loop_(loop),
       transport_(transport),
       settings_(std::move(settings)),
-      state_(loop, transport, settings_.state,
-             {settings_.state_rps, settings_.state_write_rps, settings_.state_write_rps_later}),
-      cloud_(loop, transport, settings_.cloud, settings_.cluster.cloud_rps),
+      state_(loop, transport, settings_.state_service_address,
+             {settings_.state_service_rps, settings_.state_service_write_rps,
+              settings_.state_service_announced_write_rps}),
+      cloud_(loop, transport, settings_.cloud_address, settings_.cluster.cloud_rps),
       peer_notifier_(transport, settings_.peers),
       rate_shares_(state_, leadership_, peer_notifier_, settings_.peers.size()),
       election_(loop, state_, settings_.host, election_listener()),
@@ -81,7 +82,7 @@
 // ---- Serving ----------------------------------------------------------------------------------------------
 
 std::size_t Controller::max_public_connections() const {
-  const auto limit = settings_.connections;
+  const auto limit = settings_.max_file_descriptors;
   return limit > 2 * constants::kReservedSockets ? limit - constants::kReservedSockets : limit / 2;
 }
 
@@ -111,7 +112,7 @@
 
 net::Task<HttpResponse> Controller::handle_public(HttpMessage request) {
   if (request.path() == wire::path::kHeartbeat) {
-    HttpResponse response = co_await worker_routes_.heartbeat(request);
+    HttpResponse response = co_await worker_routes_.handle_heartbeat(request);
     co_return response;
   }
   HttpResponse response = co_await user_routes_.handle(request);
--- a/src/app/heartbeat_handler.cpp
+++ b/src/app/heartbeat_handler.cpp
@@ -48,7 +48,7 @@
   ++responses_.answered;
   if (heartbeat.token != context_.token()) ++responses_.unacknowledged;
   if (!allow_starts) ++responses_.starts_withheld;
-  co_return json_response(net::http_status::kOk, wire::heartbeat_response(context_.token(), commands));
+  co_return msgpack_response(net::http_status::kOk, wire::heartbeat_response(context_.token(), commands));
 }
 
 HttpResponse HeartbeatHandler::refuse(std::size_t& count) {
--- a/src/app/job_reader.cpp
+++ b/src/app/job_reader.cpp
@@ -21,9 +21,9 @@
   return state == JobState::done || state == JobState::cancelled;
 }
 
-JobReader::JobReader(store::StateClient& state, const LeadershipState& leadership,
+JobReader::JobReader(store::StateClient& state_client, const LeadershipState& leadership,
                      TerminalJobCache& terminal_jobs)
-    : state_(state), leadership_(leadership), terminal_jobs_(terminal_jobs) {}
+    : state_client_(state_client), leadership_(leadership), terminal_jobs_(terminal_jobs) {}
 
 net::Task<JobLookup> JobReader::read(JobId id, net::TimePoint deadline) {
   JobLookup lookup;
@@ -32,10 +32,10 @@
     lookup.status = *cached;
     co_return lookup;
   }
-  store::Result<wire::KeyValue> active = co_await state_.get(core::key::active_job(id), deadline);
+  store::Result<wire::KeyValue> active = co_await state_client_.get(core::key::active_job(id), deadline);
   if (active.outcome == Outcome::missing) {
-    // A job's record moves from the active to the terminal key in one transaction: a job that was accepted
-    // and is not active any more is terminal by now.
+    // One transaction replaces the active record with the terminal one, so an accepted job without an active
+    // record has a terminal record.
     lookup = co_await read_terminal(std::move(id), deadline);
     co_return lookup;
   }
@@ -53,7 +53,7 @@
 
 net::Task<JobLookup> JobReader::read_terminal(JobId id, net::TimePoint deadline) {
   JobLookup lookup;
-  store::Result<wire::KeyValue> terminal = co_await state_.get(core::key::terminal_job(id), deadline);
+  store::Result<wire::KeyValue> terminal = co_await state_client_.get(core::key::terminal_job(id), deadline);
   lookup.outcome = terminal.outcome;
   if (!terminal) co_return lookup;
   try {
--- a/src/app/job_reader.hpp
+++ b/src/app/job_reader.hpp
@@ -1,4 +1,4 @@
-// Reads one job's present state: from the cache of terminal jobs, else from the state service.
+// Reads the current state of a single job.
 #pragma once
 
 #include <optional>
@@ -12,30 +12,33 @@
 
 namespace dockdyke::app {
 
-// What is known of a job.
+// Result of reading a job.
 struct JobLookup {
-  // `ok`: the job exists. `missing`: it was never accepted. Anything else: it can't be told now.
+  // `ok`: the job exists. `missing`: it was never accepted. Any other value: its state is unknown.
   store::Outcome outcome = store::Outcome::unknown;
   wire::JobStatus status;
-  // Of an active job: its stored record and the version of that record.
+  // Stored record of an active job and the version of that record; std::nullopt for a terminal job.
   std::optional<core::JobRecord> active_record;
   Revision active_version;
 };
 
-// Whether a job in this state never changes again.
+// Returns whether the state is final: done or cancelled.
 bool is_terminal(wire::JobState state);
 
-// Terminal states that it reads are cached.
+// Looks in the cache of terminal jobs first, then in the state service. Adds the terminal states it reads to
+// the cache.
 class JobReader {
  public:
-  JobReader(store::StateClient& state, const LeadershipState& leadership, TerminalJobCache& terminal_jobs);
+  JobReader(store::StateClient& state_client, const LeadershipState& leadership,
+            TerminalJobCache& terminal_jobs);
 
   net::Task<JobLookup> read(JobId id, net::TimePoint deadline);
 
  private:
+  // Reads the terminal record from the state service.
   net::Task<JobLookup> read_terminal(JobId id, net::TimePoint deadline);
 
-  store::StateClient& state_;
+  store::StateClient& state_client_;
   const LeadershipState& leadership_;
   TerminalJobCache& terminal_jobs_;
 };
--- a/src/app/latency_histogram.hpp
+++ b/src/app/latency_histogram.hpp
@@ -1,4 +1,4 @@
-// A histogram of response latencies, for the log.
+// A histogram of request latencies, used for log output.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -8,19 +8,21 @@
 
 namespace dockdyke::app {
 
-// Logarithmic bins between constants::kLatencyMin and kLatencyMax (s); latencies outside fall into two more.
+// Uses logarithmic bins between constants::kLatencyMin and constants::kLatencyMax (s), plus an underflow and
+// an overflow bin.
 class LatencyHistogram {
  public:
   void add(double seconds) { counts_(seconds); }
   std::size_t count() const { return static_cast<std::size_t>(boost::histogram::algorithm::sum(counts_)); }
 
-  // The upper edge (s) of the bin in which the quantile `share` (0 to 1) lies; 0 when nothing was added.
-  double quantile(double share) const {
-    const double wanted = share * boost::histogram::algorithm::sum(counts_);
-    double below = 0;
+  // Returns the upper edge (s) of the bin that contains the quantile `fraction` (0 to 1), or 0 if the
+  // histogram is empty.
+  double quantile(double fraction) const {
+    const double target_count = fraction * boost::histogram::algorithm::sum(counts_);
+    double cumulative_count = 0;
     for (auto&& bin : boost::histogram::indexed(counts_, boost::histogram::coverage::all)) {
-      below += static_cast<double>(*bin);
-      if (below >= wanted && below > 0) return bin.bin().upper();
+      cumulative_count += static_cast<double>(*bin);
+      if (cumulative_count >= target_count && cumulative_count > 0) return bin.bin().upper();
     }
     return 0;
   }
--- a/src/app/leader_forwarder.cpp
+++ b/src/app/leader_forwarder.cpp
@@ -12,9 +12,14 @@
 using net::HttpResponse;
 namespace http_status = net::http_status;
 
-LeaderForwarder::LeaderForwarder(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
-                                 const LeadershipState& leadership, const std::vector<PeerController>& peers)
-    : loop_(loop), transport_(transport), state_(state), leadership_(leadership), peers_(peers) {}
+LeaderForwarder::LeaderForwarder(net::Loop& loop, net::Transport& transport,
+                                 const store::StateClient& state_client, const LeadershipState& leadership,
+                                 const std::vector<PeerController>& peers)
+    : loop_(loop),
+      transport_(transport),
+      state_client_(state_client),
+      leadership_(leadership),
+      peers_(peers) {}
 
 std::optional<net::Address> LeaderForwarder::leader_address() const {
   const auto& host = leadership_.leader_host();
@@ -35,17 +40,18 @@
 net::Task<std::optional<HttpResponse>> LeaderForwarder::forward(peer::ForwardedRequest request) {
   const auto address = leader_address();
   if (!address) co_return std::nullopt;
-  // A leader that timed out several times in a row gets no requests for a while: cut off, it would cost every
-  // user the timeout. While this controller's own writes are queued, even a slow leader is the better choice.
-  const bool saturated = state_.write_backlog_s() > constants::kForwardBacklogThreshold;
-  if (!saturated && loop_.now() < backoff_until_) co_return std::nullopt;
-  const double timeout_s = saturated ? constants::kSaturatedForwardTimeout : constants::kForwardTimeout;
+  // During the backoff after consecutive timeouts, requests are not forwarded: if the leader is unreachable,
+  // each would wait for the timeout. With a write backlog of its own, a follower forwards even to a slow
+  // leader.
+  const bool has_write_backlog = state_client_.write_backlog_s() > constants::kForwardBacklogThreshold;
+  if (!has_write_backlog && loop_.now() < backoff_until_) co_return std::nullopt;
+  const double timeout_s =
+      has_write_backlog ? constants::kSaturatedForwardTimeout : constants::kForwardTimeout;
   std::optional<HttpResponse> response =
       co_await peer::forward(transport_, *address, std::move(request), timeout_s);
   record_outcome(response.has_value());
-  // What the leader can't take, perhaps because the state service refuses it alone, this controller may be
-  // able to. And what it calls malformed has passed this controller's own check: the leader may be of an
-  // earlier version.
+  // On 503 this controller may still succeed, for example if only the leader cannot reach the state service.
+  // On 400 the request has passed this controller's own check, so the leader may run a previous version.
   if (response &&
       (response->status == http_status::kServiceUnavailable || response->status == http_status::kBadRequest))
     co_return std::nullopt;
--- a/src/app/leader_forwarder.hpp
+++ b/src/app/leader_forwarder.hpp
@@ -1,4 +1,4 @@
-// Forwards users' requests from a follower to the leader.
+// Forwards user requests from a follower to the leader.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +16,29 @@
 
 namespace dockdyke::app {
 
-// Forwards nothing for a while after several timeouts in a row.
+// Stops forwarding submissions and cancellations for a backoff period after several consecutive timeouts,
+// unless this controller has a long write backlog.
 class LeaderForwarder {
  public:
-  LeaderForwarder(net::Loop& loop, net::Transport& transport, const store::StateClient& state,
+  LeaderForwarder(net::Loop& loop, net::Transport& transport, const store::StateClient& state_client,
                   const LeadershipState& leadership, const std::vector<PeerController>& peers);
 
-  // The leader's response to a submission or cancellation. Nothing when this controller leads, the leader is
-  // unknown, slow or unable to handle the request: then this controller handles it itself.
+  // Returns the leader's response to a submission or cancellation. Returns std::nullopt if this controller
+  // leads or the leader is unknown, slow or unable to handle the request; the caller then handles it locally.
   net::Task<std::optional<net::HttpResponse>> forward(peer::ForwardedRequest request);
-  // The leader's statuses of these jobs, in their order; nothing when there are none to be had in time, or
-  // this controller leads.
+  // Returns the leader's statuses of the jobs in the order of `ids`, or std::nullopt if the leader is unknown
+  // or does not respond in time, or this controller leads.
   net::Task<std::optional<std::vector<peer::PolledJobStatus>>> poll(std::vector<JobId> ids);
 
  private:
-  // Nothing when this controller leads or the leader is unknown.
+  // Returns std::nullopt if this controller leads or the leader is unknown.
   std::optional<net::Address> leader_address() const;
+  // Counts consecutive timeouts and starts the backoff when there are too many.
   void record_outcome(bool responded);
 
   net::Loop& loop_;
   net::Transport& transport_;
-  const store::StateClient& state_;
+  const store::StateClient& state_client_;
   const LeadershipState& leadership_;
   const std::vector<PeerController>& peers_;
   std::uint32_t consecutive_timeouts_ = 0;  // of submissions and cancellations
--- a/src/app/logging.hpp
+++ b/src/app/logging.hpp
@@ -1,11 +1,12 @@
-// Logs of one line an event on standard error; docs/log-events.md lists the events.
+// Sets up logging to standard error, one line per event. docs/log-events.md lists the events.
 #pragma once
 
 #include <string>
 
 namespace dockdyke::app {
 
-// Sets the level: `error`, `info` or `debug`. For anything else it is `error`, and the result is false.
-bool start_logging(const std::string& level);
+// Installs the default logger with the level `error`, `info` or `debug`. For any other value, uses `error`
+// and returns false.
+bool configure_logging(const std::string& level);
 
 }  // namespace dockdyke::app
--- a/src/app/peer_routes.cpp
+++ b/src/app/peer_routes.cpp
@@ -14,13 +14,13 @@
 using net::HttpResponse;
 namespace http_status = net::http_status;
 
-PeerRoutes::PeerRoutes(const store::StateClient& state, const LeadershipState& leadership,
-                       const WorkerRoutes& workers, RateShareManager& rate_shares,
+PeerRoutes::PeerRoutes(const store::StateClient& state_client, const LeadershipState& leadership,
+                       const WorkerRoutes& worker_routes, RateShareManager& rate_shares,
                        SubmissionHandler& submissions, StatusPollHandler& polls,
                        CancellationHandler& cancellations)
-    : state_(state),
+    : state_client_(state_client),
       leadership_(leadership),
-      workers_(workers),
+      worker_routes_(worker_routes),
       rate_shares_(rate_shares),
       submissions_(submissions),
       polls_(polls),
@@ -30,8 +30,8 @@
   if (request.method != "POST") co_return empty_response(http_status::kMethodNotAllowed);
   const auto target = request.path();
   if (target == peer::kStatusPath) co_return status();
-  if (target == peer::kCancelledPath) co_return job_cancelled(request);
-  if (target == peer::kWriteLimitPath) co_return write_limit_lowered();
+  if (target == peer::kCancelledPath) co_return handle_job_cancelled(request);
+  if (target == peer::kWriteLimitPath) co_return handle_write_limit_lowered();
   if (target == peer::kPollPath) {
     HttpResponse response = co_await poll(request);
     co_return response;
@@ -47,31 +47,31 @@
   peer::PeerStatus status;
   status.leading = leadership_.leading();
   status.token = leadership_.leading() ? leadership_.term()->token().value : 0;
-  status.state_reachable = !state_.unreachable();
-  status.recent_heartbeats = workers_.recent_heartbeats();
+  status.state_reachable = !state_client_.unreachable();
+  status.recent_heartbeats = worker_routes_.recent_heartbeats();
   return {http_status::kOk, peer::encode(status), std::nullopt};
 }
 
 net::Task<HttpResponse> PeerRoutes::poll(const HttpMessage& request) {
-  auto names = peer::decode_jobs(request.body);
-  if (!names) co_return empty_response(http_status::kBadRequest);
+  auto raw_ids = peer::decode_jobs(request.body);
+  if (!raw_ids) co_return empty_response(http_status::kBadRequest);
   if (!leadership_.leading()) co_return service_unavailable();
   std::vector<JobId> ids;
-  ids.reserve(names->size());
-  for (auto& name : *names) ids.emplace_back(std::move(name));
+  ids.reserve(raw_ids->size());
+  for (auto& raw_id : *raw_ids) ids.emplace_back(std::move(raw_id));
   const std::vector<peer::PolledJobStatus> statuses = co_await polls_.poll_for_peer(std::move(ids));
   co_return HttpResponse{http_status::kOk, peer::encode(statuses), std::nullopt};
 }
 
-HttpResponse PeerRoutes::job_cancelled(const HttpMessage& request) {
-  auto names = peer::decode_jobs(request.body);
-  if (!names) return empty_response(http_status::kBadRequest);
+HttpResponse PeerRoutes::handle_job_cancelled(const HttpMessage& request) {
+  auto raw_ids = peer::decode_jobs(request.body);
+  if (!raw_ids) return empty_response(http_status::kBadRequest);
   if (leadership_.leading())
-    for (auto& name : *names) leadership_.term()->push(core::JobRecordDeleted{JobId(std::move(name))});
+    for (auto& raw_id : *raw_ids) leadership_.term()->push(core::JobRecordDeleted{JobId(std::move(raw_id))});
   return empty_response(http_status::kOk);
 }
 
-HttpResponse PeerRoutes::write_limit_lowered() {
+HttpResponse PeerRoutes::handle_write_limit_lowered() {
   rate_shares_.lower_write_limit();
   return empty_response(http_status::kOk);
 }
--- a/src/app/peer_routes.hpp
+++ b/src/app/peer_routes.hpp
@@ -1,4 +1,4 @@
-// Routes of the other controllers (messages in peer/peer_messages.hpp).
+// HTTP routes for the other controllers; peer/peer_messages.hpp defines the messages.
 #pragma once
 
 #include "app/cancellation_handler.hpp"
@@ -13,30 +13,32 @@
 
 namespace dockdyke::app {
 
-// A follower handles neither polls nor forwarded requests.
+// Dispatches peer requests to their handlers. A follower handles neither polls nor forwarded requests.
 class PeerRoutes {
  public:
-  PeerRoutes(const store::StateClient& state, const LeadershipState& leadership, const WorkerRoutes& workers,
-             RateShareManager& rate_shares, SubmissionHandler& submissions, StatusPollHandler& polls,
-             CancellationHandler& cancellations);
+  PeerRoutes(const store::StateClient& state_client, const LeadershipState& leadership,
+             const WorkerRoutes& worker_routes, RateShareManager& rate_shares, SubmissionHandler& submissions,
+             StatusPollHandler& polls, CancellationHandler& cancellations);
 
-  // The request must live until the task has ended.
+  // `request` must outlive the returned task.
   net::Task<net::HttpResponse> handle(const net::HttpMessage& request);
 
  private:
-  // Whether this controller leads, reaches the state service and hears workers.
+  // Responds with the leadership, the reachability of the state service and the number of recent heartbeats.
   net::HttpResponse status() const;
-  // States of jobs for a follower's polls; 503 on a follower.
+  // Responds with the statuses of the jobs in a peer's poll, or 503 on a follower.
   net::Task<net::HttpResponse> poll(const net::HttpMessage& request);
-  // A cancellation that a peer has stored.
-  net::HttpResponse job_cancelled(const net::HttpMessage& request);
-  net::HttpResponse write_limit_lowered();
-  // A submission or cancellation of a user; not handled on a follower.
+  // Passes cancellations stored by a peer to the leader's term.
+  net::HttpResponse handle_job_cancelled(const net::HttpMessage& request);
+  // Lowers the local write limit because a peer found that the state service enforces its announced limit.
+  net::HttpResponse handle_write_limit_lowered();
+  // Handles a user's submission or cancellation forwarded by a peer; a follower responds with an empty
+  // ForwardedResponse.
   net::Task<net::HttpResponse> forward(const net::HttpMessage& request);
 
-  const store::StateClient& state_;
+  const store::StateClient& state_client_;
   const LeadershipState& leadership_;
-  const WorkerRoutes& workers_;
+  const WorkerRoutes& worker_routes_;
   RateShareManager& rate_shares_;
   SubmissionHandler& submissions_;
   StatusPollHandler& polls_;
--- a/src/app/poll_batcher.cpp
+++ b/src/app/poll_batcher.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-PolledJobStatus unavailable() {
+PolledJobStatus unavailable_status() {
   return {http_status::kServiceUnavailable, {}};
 }
 
@@ -33,9 +33,9 @@
 
 net::Task<PolledJobStatus> PollBatcher::poll(JobId id, net::Duration timeout) {
   const auto pending = enqueue(id);
-  if (!pending) co_return unavailable();
+  if (!pending) co_return unavailable_status();
   const std::optional<PolledJobStatus> polled = co_await pending->wait_until(loop_.now() + timeout);
-  co_return polled.value_or(unavailable());
+  co_return polled.value_or(unavailable_status());
 }
 
 net::Task<std::vector<PolledJobStatus>> PollBatcher::poll_all(std::vector<JobId> ids, net::Duration timeout) {
@@ -43,11 +43,11 @@
   std::vector<std::optional<PendingStatus>> pending;
   pending.reserve(ids.size());
   for (const auto& id : ids) pending.push_back(enqueue(id));
-  std::vector<PolledJobStatus> statuses(ids.size(), unavailable());
+  std::vector<PolledJobStatus> statuses(ids.size(), unavailable_status());
   for (std::size_t i = 0; i < ids.size(); ++i) {
     if (!pending[i]) continue;
     const std::optional<PolledJobStatus> polled = co_await pending[i]->wait_until(deadline);
-    statuses[i] = polled.value_or(unavailable());
+    statuses[i] = polled.value_or(unavailable_status());
   }
   co_return statuses;
 }
@@ -56,9 +56,9 @@
   running_ = true;
   while (!queue_.empty()) {
     const auto batch = std::exchange(queue_, {});
-    std::set<JobId> distinct;
-    for (const auto& poll : batch) distinct.insert(poll.id);
-    const std::vector<JobId> ids(distinct.begin(), distinct.end());
+    std::set<JobId> distinct_ids;
+    for (const auto& poll : batch) distinct_ids.insert(poll.id);
+    const std::vector<JobId> ids(distinct_ids.begin(), distinct_ids.end());
     const std::vector<PolledJobStatus> polled = co_await read_batch(ids);
     std::map<JobId, PolledJobStatus> statuses;
     for (std::size_t i = 0; i < ids.size(); ++i) statuses.emplace(ids[i], polled[i]);
@@ -69,10 +69,11 @@
 }
 
 net::Task<std::vector<PolledJobStatus>> PollBatcher::read_batch(std::vector<JobId> ids) {
-  std::optional<std::vector<PolledJobStatus>> from_leader = co_await sources_.poll_leader(ids);
+  std::optional<std::vector<PolledJobStatus>> leader_statuses = co_await sources_.poll_leader(ids);
   std::vector<PolledJobStatus> statuses =
-      from_leader ? *std::move(from_leader) : std::vector<PolledJobStatus>(ids.size(), unavailable());
-  // Jobs of which the leader can't tell are read here: the state service may refuse the leader alone.
+      leader_statuses ? *std::move(leader_statuses)
+                      : std::vector<PolledJobStatus>(ids.size(), unavailable_status());
+  // Jobs still at 503 are read by this controller: perhaps only the leader cannot reach the state service.
   std::vector<std::size_t> positions;
   std::vector<JobId> remaining_ids;
   for (std::size_t i = 0; i < ids.size(); ++i) {
--- a/src/app/poll_batcher.hpp
+++ b/src/app/poll_batcher.hpp
@@ -1,8 +1,7 @@
-// Gathers polls of jobs, from users and peers, and answers all that have come together by one reading.
+// Batches job polls of users and peers and reads all statuses of a batch together.
 //
-// One batch is in flight at a time. While the state service is slow or requests are short, the next batch
-// grows instead of a queue of small ones: at 4,000 machines five controllers, each with batches of its own,
-// had used up the leader's requests and nearly every poll failed.
+// Only one batch is in flight at a time: if reads are slow, batches grow instead of increasing in number, so
+// polls do not use up the request limit of the state service.
 #pragma once
 
 #include <functional>
@@ -16,23 +15,23 @@
 
 namespace dockdyke::app {
 
-// Where statuses come from. Both functions return them in the order of the ids.
+// Functions that read job statuses. Both return them in the order of the ids.
 struct JobStatusSources {
-  // The leader; nothing when there is no response in time, or this controller leads.
+  // Polls the leader; returns std::nullopt if it does not respond in time or this controller leads.
   std::function<net::Task<std::optional<std::vector<peer::PolledJobStatus>>>(std::vector<JobId>)> poll_leader;
-  // The state service.
+  // Reads the statuses from the state service.
   std::function<net::Task<std::vector<peer::PolledJobStatus>>(std::vector<JobId>)> read_job_statuses;
 };
 
-// The number of queued polls is bounded by constants::kPollQueueLimit.
+// Collects polls in a queue of at most constants::kPollQueueLimit and processes them in batches.
 class PollBatcher {
  public:
   PollBatcher(net::Loop& loop, JobStatusSources sources);
 
-  // The job's state by a reading that began after this call; status 503 where it can't be told within the
-  // timeout or too many polls are queued.
+  // Returns the job's status from a read that began after this call, or HTTP status 503 if the read does not
+  // finish within the timeout or the queue is full.
   net::Task<peer::PolledJobStatus> poll(JobId id, net::Duration timeout);
-  // The same for several jobs, in their order.
+  // Like `poll` for several jobs; returns the statuses in the order of `ids`.
   net::Task<std::vector<peer::PolledJobStatus>> poll_all(std::vector<JobId> ids, net::Duration timeout);
 
  private:
@@ -42,11 +41,12 @@
     PendingStatus status;
   };
 
-  // Nothing where the queue is full.
+  // Adds a poll to the queue and starts `run_batches` if it is not running. Returns std::nullopt if the queue
+  // is full.
   std::optional<PendingStatus> enqueue(const JobId& id);
-  // Answers batch after batch until no poll is queued.
+  // Processes one batch after another until the queue is empty.
   net::Task<void> run_batches();
-  // The leader's statuses, and those of the state service for jobs of which the leader can't tell.
+  // Polls the leader, then reads the jobs for which it returned no status from the state service.
   net::Task<std::vector<peer::PolledJobStatus>> read_batch(std::vector<JobId> ids);
 
   net::Loop& loop_;
--- a/src/app/responses.cpp
+++ b/src/app/responses.cpp
@@ -7,7 +7,7 @@
 
 namespace dockdyke::app {
 
-net::HttpResponse json_response(int status, const wire::Json& body) {
+net::HttpResponse msgpack_response(int status, const wire::Json& body) {
   return {status, wire::encode(body), std::nullopt};
 }
 
--- a/src/app/responses.hpp
+++ b/src/app/responses.hpp
@@ -1,4 +1,4 @@
-// Builders of the HTTP responses that several request handlers give.
+// Builds HTTP responses shared by the request handlers.
 #pragma once
 
 #include "net/http_server.hpp"
@@ -6,11 +6,10 @@
 
 namespace dockdyke::app {
 
-// A response with a MessagePack body.
-net::HttpResponse json_response(int status, const wire::Json& body);
-// A response without a body.
+// Returns a response with `body` encoded as MessagePack.
+net::HttpResponse msgpack_response(int status, const wire::Json& body);
 net::HttpResponse empty_response(int status);
-// 503 with a `Retry-After` of constants::kRetryAfterSeconds.
+// Returns a 503 response with a `Retry-After` header of constants::kRetryAfterSeconds.
 net::HttpResponse service_unavailable();
 
 }  // namespace dockdyke::app
--- a/src/app/status_poll_handler.cpp
+++ b/src/app/status_poll_handler.cpp
@@ -12,19 +12,21 @@
 namespace http_status = net::http_status;
 
 StatusPollHandler::StatusPollHandler(net::Loop& loop, TerminalJobCache& terminal_jobs,
-                                     LeaderForwarder& forwarder, JobStatusReader& reader)
+                                     LeaderForwarder& forwarder, JobStatusReader& job_status_reader)
     : terminal_jobs_(terminal_jobs),
       batcher_(loop, {[&forwarder](std::vector<JobId> ids) { return forwarder.poll(std::move(ids)); },
-                      [&reader](std::vector<JobId> ids) { return reader.read(std::move(ids)); }}) {}
+                      [&job_status_reader](std::vector<JobId> ids) {
+                        return job_status_reader.read(std::move(ids));
+                      }}) {}
 
 net::Task<HttpResponse> StatusPollHandler::poll(JobId id) {
   if (const auto* cached = terminal_jobs_.find(id))
-    co_return json_response(http_status::kOk, wire::job_status_response(id, *cached));
+    co_return msgpack_response(http_status::kOk, wire::job_status_response(id, *cached));
   const peer::PolledJobStatus polled = co_await batcher_.poll(id, net::seconds(constants::kPollTimeout));
   if (polled.status == http_status::kServiceUnavailable) co_return service_unavailable();
   if (polled.status != http_status::kOk) co_return empty_response(polled.status);
   if (is_terminal(polled.job.state)) terminal_jobs_.insert(id, polled.job);
-  co_return json_response(http_status::kOk, wire::job_status_response(id, polled.job));
+  co_return msgpack_response(http_status::kOk, wire::job_status_response(id, polled.job));
 }
 
 net::Task<std::vector<peer::PolledJobStatus>> StatusPollHandler::poll_for_peer(std::vector<JobId> ids) {
--- a/src/app/status_poll_handler.hpp
+++ b/src/app/status_poll_handler.hpp
@@ -1,4 +1,4 @@
-// Answers polls of jobs, from users and from peers (PROTOCOL, "GET /work/{id}").
+// Handles job polls of users and peers (PROTOCOL, "GET /work/{id}").
 #pragma once
 
 #include <vector>
@@ -14,15 +14,15 @@
 
 namespace dockdyke::app {
 
-// All polls of this controller go through one batcher.
+// Serves user polls of cached terminal jobs at once; all other polls go through a single batcher.
 class StatusPollHandler {
  public:
   StatusPollHandler(net::Loop& loop, TerminalJobCache& terminal_jobs, LeaderForwarder& forwarder,
-                    JobStatusReader& reader);
+                    JobStatusReader& job_status_reader);
 
-  // A user's poll.
+  // Responds to a user's poll.
   net::Task<net::HttpResponse> poll(JobId id);
-  // The present state of each job, in the order of `ids`, for a peer.
+  // Returns the current status of each job in the order of `ids`, for a poll of a peer.
   net::Task<std::vector<peer::PolledJobStatus>> poll_for_peer(std::vector<JobId> ids);
 
  private:
--- a/src/app/terminal_job_cache.hpp
+++ b/src/app/terminal_job_cache.hpp
@@ -1,4 +1,4 @@
-// Final states of jobs, kept in memory to answer late polls without the state service.
+// Caches final job states in memory, so that late polls need no read of the state service.
 #pragma once
 
 #include <deque>
@@ -9,15 +9,15 @@
 
 namespace dockdyke::app {
 
-// Holds at most constants::kTerminalJobCacheSize jobs; the oldest entry is dropped first. Only states that
-// are stored may be inserted: they never change again (PROTOCOL, "GET /work/{id}").
+// Holds at most constants::kTerminalJobCacheSize jobs and removes the oldest entry first. Only stored
+// terminal states may be inserted, since these never change.
 class TerminalJobCache {
  public:
-  // Null when the job is not cached. The pointer is valid until the next call of `insert`, so not beyond a
-  // suspension.
+  // Returns nullptr if the job is not cached. The pointer is valid until the next call of `insert`; do not
+  // keep it across a coroutine suspension.
   const wire::JobStatus* find(const JobId& id) const;
   bool contains(const JobId& id) const { return statuses_.contains(id); }
-  // Keeps the first status of a job.
+  // Does nothing if the job is already cached.
   void insert(const JobId& id, const wire::JobStatus& status);
 
  private:
--- a/src/app/user_routes.cpp
+++ b/src/app/user_routes.cpp
@@ -14,11 +14,11 @@
 namespace http_status = net::http_status;
 namespace path = wire::path;
 
-UserRoutes::UserRoutes(const MachineTypeCatalog& catalog, const PeerMonitor& peers,
+UserRoutes::UserRoutes(const MachineTypeCatalog& catalog, const PeerMonitor& peer_monitor,
                        LeaderForwarder& forwarder, SubmissionHandler& submissions, StatusPollHandler& polls,
                        CancellationHandler& cancellations)
     : catalog_(catalog),
-      peers_(peers),
+      peer_monitor_(peer_monitor),
       forwarder_(forwarder),
       submissions_(submissions),
       polls_(polls),
@@ -41,15 +41,15 @@
 
 HttpResponse UserRoutes::health(const HttpMessage& request) const {
   if (request.method != "GET") return empty_response(http_status::kMethodNotAllowed);
-  // In an outage for all, this controller is as good as any; when the state service refuses this one alone,
-  // the others serve.
-  const bool healthy = catalog_.known() && !peers_.peers_preferred();
+  // Unhealthy if the state service is unreachable from here and either a peer reaches it or this controller
+  // reaches no peer. In an outage of the state service for all controllers, all stay healthy.
+  const bool healthy = catalog_.known() && !peer_monitor_.peers_preferred();
   return healthy ? empty_response(http_status::kOk) : service_unavailable();
 }
 
 net::Task<HttpResponse> UserRoutes::submit(const HttpMessage& request) {
   if (request.method != "POST") co_return empty_response(http_status::kMethodNotAllowed);
-  auto rejection = submissions_.check(request.body);
+  auto rejection = submissions_.check_admission(request.body);
   if (rejection) co_return *std::move(rejection);
   peer::ForwardedRequest forwarded;
   forwarded.kind = peer::RequestKind::submit;
@@ -61,13 +61,13 @@
 }
 
 net::Task<HttpResponse> UserRoutes::handle_job(const HttpMessage& request, std::string_view target) {
-  const bool cancelling = target.ends_with(path::kCancel);
-  if (cancelling) target.remove_suffix(path::kCancel.size());
+  const bool is_cancellation = target.ends_with(path::kCancel);
+  if (is_cancellation) target.remove_suffix(path::kCancel.size());
   if (!wire::is_job_id(target)) co_return empty_response(http_status::kNotFound);
-  if (request.method != (cancelling ? "POST" : "GET"))
+  if (request.method != (is_cancellation ? "POST" : "GET"))
     co_return empty_response(http_status::kMethodNotAllowed);
   JobId id{std::string(target)};
-  if (cancelling) {
+  if (is_cancellation) {
     HttpResponse response = co_await cancel(std::move(id));
     co_return response;
   }
--- a/src/app/user_routes.hpp
+++ b/src/app/user_routes.hpp
@@ -1,4 +1,4 @@
-// Routes of users and of the load balancer's health checks (PROTOCOL, "Users -> controller nodes").
+// HTTP routes for users and for health checks of the load balancer (PROTOCOL, "Users -> controller nodes").
 #pragma once
 
 #include <string_view>
@@ -14,24 +14,25 @@
 
 namespace dockdyke::app {
 
-// On a follower, submissions and cancellations are forwarded to the leader first.
+// Dispatches user requests to their handlers. A follower first tries to forward submissions and cancellations
+// to the leader.
 class UserRoutes {
  public:
-  UserRoutes(const MachineTypeCatalog& catalog, const PeerMonitor& peers, LeaderForwarder& forwarder,
+  UserRoutes(const MachineTypeCatalog& catalog, const PeerMonitor& peer_monitor, LeaderForwarder& forwarder,
              SubmissionHandler& submissions, StatusPollHandler& polls, CancellationHandler& cancellations);
 
-  // The request must live until the task has ended.
+  // `request` must outlive the returned task.
   net::Task<net::HttpResponse> handle(const net::HttpMessage& request);
 
  private:
   net::HttpResponse health(const net::HttpMessage& request) const;
   net::Task<net::HttpResponse> submit(const net::HttpMessage& request);
-  // `target`: the path behind "/work/".
+  // `target` is the path after "/work/".
   net::Task<net::HttpResponse> handle_job(const net::HttpMessage& request, std::string_view target);
   net::Task<net::HttpResponse> cancel(JobId id);
 
   const MachineTypeCatalog& catalog_;
-  const PeerMonitor& peers_;
+  const PeerMonitor& peer_monitor_;
   LeaderForwarder& forwarder_;
   SubmissionHandler& submissions_;
   StatusPollHandler& polls_;
--- a/src/app/worker_routes.hpp
+++ b/src/app/worker_routes.hpp
@@ -1,4 +1,4 @@
-// Routes of workers (PROTOCOL, "Workers -> controller nodes").
+// HTTP routes for workers (PROTOCOL, "Workers -> controller nodes").
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,21 @@
 
 namespace dockdyke::app {
 
-// Only the leader responds with 200.
+// Passes heartbeats to the leader's term. A follower responds with 421 and the host name of the leader.
 class WorkerRoutes {
  public:
-  // `own_host`: this controller's host name.
+  // `own_host` is this controller's host name.
   WorkerRoutes(const net::Loop& loop, const LeadershipState& leadership, std::string own_host);
 
-  // Handles a heartbeat on the leader; a follower redirects the worker to the leader, if it is known. The
-  // request must live until the task has ended.
-  net::Task<net::HttpResponse> heartbeat(const net::HttpMessage& request);
-  // Heartbeats that arrived here lately, whatever became of them.
+  // Responds to a heartbeat. `request` must outlive the returned task.
+  net::Task<net::HttpResponse> handle_heartbeat(const net::HttpMessage& request);
+  // Returns the number of well-formed heartbeats in the last constants::kHeartbeatCountWindow seconds,
+  // including redirected ones.
   std::uint64_t recent_heartbeats() const { return heartbeat_counter_.recent(loop_.now()); }
 
  private:
-  net::HttpResponse redirect() const;
+  // Responds with 421 and the host name of the leader, or an empty map if the leader is unknown.
+  net::HttpResponse redirect_to_leader() const;
 
   const net::Loop& loop_;
   const LeadershipState& leadership_;
